--- a/cmd/yarrowctl/status_row.go
+++ b/cmd/yarrowctl/status_row.go
@@ -76,10 +76,10 @@
 
 // wordsOf tells how many backend servers leave and how many rest, by their own word.
 func wordsOf(d *dispatch.Status) string {
-	if len(d.Leaving)+len(d.Resting) == 0 {
+	if len(d.Leaving)+len(d.BackingOff) == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%d, %d", len(d.Leaving), len(d.Resting))
+	return fmt.Sprintf("%d, %d", len(d.Leaving), len(d.BackingOff))
 }
 
 // suspectsOf tells how many requests were at ends of backend servers, and names the worst.
@@ -88,7 +88,7 @@
 		return "-"
 	}
 	worst := d.Suspects[0]
-	return fmt.Sprintf("%d: %s %d ends", d.SuspectCount, worst.Digest, worst.Ends)
+	return fmt.Sprintf("%d: %s %d ends", d.SuspectCount, worst.Digest, worst.Terminations)
 }
 
 // suspendedOf tells for how long the router's machine was suspended.
--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -72,7 +72,7 @@
 		Served: got.served, Waited: r.Waited + got.waited,
 		First:   func() { d.post(began{got.id}) },
 		Said:    func(w backend.Said) { d.post(said{got.id, w}) },
-		Hurried: d.Hurried,
+		Hurried: d.Saturated,
 		// A router that stood still for longer has lost its place to another.
 		MayStart: func() bool { return d.now()-got.at < d.startWithin() },
 	}, nil
@@ -266,7 +266,7 @@
 }
 
 func (e ended) apply(s *state) {
-	result := blamed(e.result, s.d.Hurried())
+	result := blamed(e.result, s.d.Saturated())
 	s.ending = e.request
 	delete(s.served, e.id)
 	s.step(admit.End{ID: e.id, Tokens: e.tokens, Result: result, Digest: e.digest, Cut: e.cut && result != admit.Unknown, Whole: e.whole})
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -38,10 +38,10 @@
 	Revision(ctx context.Context) (catalog.Revision, error)
 }
 
-// Net carries messages to other routers by their addresses.
-type Net interface {
+// Transport sends messages to other routers by address and receives theirs.
+type Transport interface {
 	Send(to string, msg any)
-	// SetIncarnation changes of which start others are told that this router is.
+	// SetIncarnation changes the incarnation number sent to peers.
 	SetIncarnation(inc uint64)
 	Inbox() <-chan peer.Inbound
 	Losses() <-chan peer.Lost
@@ -55,12 +55,12 @@
 	Address string
 	// Zone is the availability zone.
 	Zone string
-	// Inc is the incarnation: the wall time of the start in nanoseconds.
-	Inc uint64
+	// Incarnation is the wall-clock start time in nanoseconds.
+	Incarnation uint64
 	// Capacity is the share of processors, 0 if it is not stated.
 	Capacity float64
-	// Listens are the addresses where it listens for anybody.
-	Listens []string
+	// ListenAddresses are all addresses on which the router listens.
+	ListenAddresses []string
 }
 
 // Dispatcher is one router's scheduler.
@@ -68,7 +68,7 @@
 	id      Identity
 	opt     options
 	source  Source
-	net     Net
+	net     Transport
 	started time.Time
 	// begun is the same by the steady clock, by which lag is measured: a suspension is
 	// none.
@@ -92,7 +92,7 @@
 	// that it refuses many.
 	hurried, refusing atomic.Bool
 	// pace is how well it keeps up, nil before that was measured.
-	pace atomic.Pointer[Pace]
+	pace atomic.Pointer[LoadStats]
 	// asOf is the platform's revision up to which all is known, nil before anything is.
 	asOf atomic.Pointer[catalog.Revision]
 	// endWatch ends the watch that waits, nil if there is none.
@@ -129,7 +129,7 @@
 	// weights says that accounts are served by their weights.
 	weights bool
 	// loads reads those of backend servers, nil if nobody does.
-	loads Loads
+	loads LoadReader
 }
 
 // Forwarder hands callers' connections on to other routers.
@@ -153,8 +153,8 @@
 // WithSeeds sets the addresses of the routers to begin with.
 func WithSeeds(seeds []string) Option { return func(o *options) { o.seeds = seeds } }
 
-// WithRule sets the fleet's allowance of repeats.
-func WithRule(r allowance.Rule) Option { return func(o *options) { o.rule = r } }
+// WithRetryBudget sets the fleet's retry budget.
+func WithRetryBudget(r allowance.Rule) Option { return func(o *options) { o.rule = r } }
 
 // WithApplyWithin sets within what time a change at the platform is to be in
 // force at every router that can hear of it.
@@ -169,15 +169,15 @@
 	return func(o *options) { o.core = append(o.core, admit.WithUniqueStarts()) }
 }
 
-// WithDraws sets what draws from 0 up to 1 which requests of an account are let in where
-// only a part of them is; by default by chance.
-func WithDraws(draw func() float64) Option { return func(o *options) { o.draw = draw } }
+// WithRandom sets the source of random numbers in [0, 1) that selects which requests are
+// admitted when an account is throttled. The default is rand.Float64.
+func WithRandom(draw func() float64) Option { return func(o *options) { o.draw = draw } }
 
 // DefaultApplyWithin is used where settings do not say.
 const DefaultApplyWithin = 2 * time.Second
 
 // New returns a dispatcher that Start starts.
-func New(id Identity, source Source, n Net, opts ...Option) *Dispatcher {
+func New(id Identity, source Source, n Transport, opts ...Option) *Dispatcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Dispatcher{
 		id: id, source: source, net: n, begun: time.Now(),
@@ -194,9 +194,9 @@
 	return d
 }
 
-// SetRule changes the fleet's allowance of repeats, and within what time
-// changes are to be in force.
-func (d *Dispatcher) SetRule(r allowance.Rule, applyWithin time.Duration) {
+// Reconfigure replaces the retry budget and the time within which platform changes must
+// be applied.
+func (d *Dispatcher) Reconfigure(r allowance.Rule, applyWithin time.Duration) {
 	d.shared.applyWithin.Store(int64(applyWithin))
 	d.post(setRule{r})
 }
@@ -211,7 +211,7 @@
 // Start starts the tasks.
 func (d *Dispatcher) Start() {
 	tasks := []func(){d.run, d.watch, d.verify, d.measureLag}
-	if l, ok := d.source.(Lister); ok {
+	if l, ok := d.source.(InstanceLister); ok {
 		tasks = append(tasks, func() { d.watchInstances(l) })
 	}
 	for _, task := range tasks {
--- a/internal/dispatch/fleet_flood_test.go
+++ b/internal/dispatch/fleet_flood_test.go
@@ -165,8 +165,8 @@
 	if large {
 		r.cores = largeCores
 	}
-	d := New(Identity{Name: "r", Address: "r", Zone: "z", Inc: 1, Capacity: r.cores}, noSource{}, nil,
-		WithLogger(slog.New(slog.DiscardHandler)), WithDraws(f.rng.Float64))
+	d := New(Identity{Name: "r", Address: "r", Zone: "z", Incarnation: 1, Capacity: r.cores}, noSource{}, nil,
+		WithLogger(slog.New(slog.DiscardHandler)), WithRandom(f.rng.Float64))
 	r.loadedRouter = newLoadedRouter(newState(d))
 	return r
 }
--- a/internal/dispatch/fleet_model_test.go
+++ b/internal/dispatch/fleet_model_test.go
@@ -40,7 +40,7 @@
 	modelLink = 2 * time.Millisecond
 )
 
-// Send implements Net.
+// Send implements Transport.
 func (r *modelRouter) SetIncarnation(uint64) {}
 
 func (r *modelRouter) Send(to string, msg any) {
@@ -65,7 +65,7 @@
 	address := func(i int) string { return fmt.Sprintf("10.0.%d.%d:7", i/200, i%200) }
 	for i := range routers {
 		r := &modelRouter{model: f, address: address(i)}
-		id := Identity{Name: fmt.Sprint("r-", i), Address: r.address, Zone: fmt.Sprint("z", i%3), Inc: uint64(i + 1), Capacity: 0.2}
+		id := Identity{Name: fmt.Sprint("r-", i), Address: r.address, Zone: fmt.Sprint("z", i%3), Incarnation: uint64(i + 1), Capacity: 0.2}
 		d := New(id, noSource{}, r, WithSeeds([]string{address(0), address(1), address(2)}), WithApplyWithin(within), WithLogger(slog.New(slog.DiscardHandler)))
 		r.state = newState(d)
 		r.state.now = f.now
@@ -97,7 +97,7 @@
 func (f *fleetModel) deliver(m modelMessage) {
 	from, to := f.routers[m.from], f.routers[m.to]
 	to.now = f.now
-	inbound{peer.Inbound{From: m.from, Name: from.d.id.Name, Zone: from.d.id.Zone, Inc: from.d.id.Inc, Msg: m.msg}}.apply(to.state)
+	inbound{peer.Inbound{From: m.from, Name: from.d.id.Name, Zone: from.d.id.Zone, Inc: from.d.id.Incarnation, Msg: m.msg}}.apply(to.state)
 }
 
 // reader returns the router whose turn it is to read the platform.
@@ -147,4 +147,4 @@
 	}
 }
 
-var _ Net = (*modelRouter)(nil)
+var _ Transport = (*modelRouter)(nil)
--- a/internal/dispatch/freeze.go
+++ b/internal/dispatch/freeze.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// Freeze stops the task that decides until the returned function is called, as a paused
-// process would. It is for tests and measurements.
-func (d *Dispatcher) Freeze() (thaw func()) {
+// PauseLoop blocks the event loop until resume is called, to simulate a paused process. It is
+// meant for tests and measurements.
+func (d *Dispatcher) PauseLoop() (thaw func()) {
 	begun, end := make(chan struct{}), make(chan struct{})
 	if !d.post(frozen{begun, end}) {
 		return func() {}
--- a/internal/dispatch/instances.go
+++ b/internal/dispatch/instances.go
@@ -8,8 +8,8 @@
 	"github.com/yarrowmast/yarrowmast/internal/platform"
 )
 
-// Lister is a Source that also publishes the list of routers.
-type Lister interface {
+// InstanceLister is a Source that also publishes the list of routers.
+type InstanceLister interface {
 	// Instances waits for a list after a revision, for a while at most; ok is false if there
 	// was none.
 	Instances(ctx context.Context, after uint64) (list platform.Instances, ok bool, err error)
@@ -20,7 +20,7 @@
 
 // watchInstances is the task that follows the platform's list of routers: it names whom to
 // try first, and which routers are homes of keys.
-func (d *Dispatcher) watchInstances(l Lister) {
+func (d *Dispatcher) watchInstances(l InstanceLister) {
 	wait := newBackoff()
 	for after := uint64(0); d.ctx.Err() == nil; {
 		list, ok, err := l.Instances(d.ctx, after)
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -8,8 +8,8 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// Loads reads how many requests run at a backend server by its own report.
-type Loads interface {
+// LoadReader reads the number of running requests that a backend server reports.
+type LoadReader interface {
 	Load(ctx context.Context, b table.Backend) (inFlight int, err error)
 }
 
@@ -20,8 +20,8 @@
 	ownedEvery = 200 * time.Millisecond
 )
 
-// WithLoads has the loads of the backend servers read that this router owns.
-func WithLoads(l Loads) Option { return func(o *options) { o.loads = l } }
+// WithLoadReader makes the router poll the load of the backend servers that it owns.
+func WithLoadReader(l LoadReader) Option { return func(o *options) { o.loads = l } }
 
 // followLoads starts and ends the readers, one for each backend server that is owned.
 func (s *state) followLoads() {
--- a/internal/dispatch/news_test.go
+++ b/internal/dispatch/news_test.go
@@ -15,7 +15,7 @@
 // published or some time has passed.
 func TestAllIsCollectedOnce(t *testing.T) {
 	n := &sentNet{}
-	s := newState(New(Identity{Name: "a", Address: "10.0.1.1:7", Zone: "x", Inc: 1}, noSource{}, n))
+	s := newState(New(Identity{Name: "a", Address: "10.0.1.1:7", Zone: "x", Incarnation: 1}, noSource{}, n))
 	s.now = time.Hour
 	publish := func(asOf uint64, news catalog.News) {
 		news.AsOf = asOf
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -23,14 +23,14 @@
 
 // notePace tells the callers' tasks, and operators, how well this router keeps up.
 func (s *state) notePace() {
-	p := &Pace{Part: s.pace.Part(), Late: s.pace.Late(), Rate: s.pace.Rate()}
+	p := &LoadStats{AdmitRatio: s.pace.Part(), Lag: s.pace.Late(), Rate: s.pace.Rate()}
 	s.d.shared.pace.Store(p)
-	if p.Part < 1 {
+	if p.AdmitRatio < 1 {
 		s.limitedAt = s.now
 	}
 	limited := s.limitedAt > 0 && s.now-s.limitedAt < limitedFor
 	if s.d.shared.hurried.Swap(limited) != limited {
-		s.d.opt.log.Warn("router_pace", "limited", limited, "late_ms", p.Late.Milliseconds(), "can_per_s", int(p.Rate))
+		s.d.opt.log.Warn("router_pace", "limited", limited, "late_ms", p.Lag.Milliseconds(), "can_per_s", int(p.Rate))
 	}
 }
 
@@ -44,7 +44,7 @@
 const refusingFrom = 20
 
 // Refusing implements front.Scheduler.
-func (d *Dispatcher) Refusing() bool { return d.Hurried() || d.shared.refusing.Load() }
+func (d *Dispatcher) Refusing() bool { return d.Saturated() || d.shared.refusing.Load() }
 
 // seeWhetherOverloaded tells balancers to send new connections elsewhere while
 // this router can work on a small part of its requests only.
@@ -63,27 +63,28 @@
 	}
 }
 
-// Hurried reports whether this router could not work on all of its requests a moment ago.
-func (d *Dispatcher) Hurried() bool { return d.shared.hurried.Load() }
+// Saturated reports whether this router recently lacked processor time for some of its requests.
+func (d *Dispatcher) Saturated() bool { return d.shared.hurried.Load() }
 
-// Pace is how well a router keeps up with its requests.
-type Pace struct {
-	// Part is the part of the requests that it can work on.
-	Part float64
-	// Late is how late it hears of what comes to its sockets.
-	Late time.Duration
-	// Rate is how many requests it can work on a second while it refuses none.
+// LoadStats describes how well a router keeps up with its requests.
+type LoadStats struct {
+	// AdmitRatio is the fraction of requests that the router has processor time for.
+	AdmitRatio float64
+	// Lag is the delay between data arriving at a socket and the process reading it.
+	Lag time.Duration
+	// Rate is the number of requests per second that the router can process when it
+	// refuses none.
 	Rate float64
-	// Screened counts the requests that were refused unseen since the start.
-	Screened int64
+	// RefusedEarly counts the requests refused by admission control since the start.
+	RefusedEarly int64
 }
 
-// Pace returns how well this router keeps up.
-func (d *Dispatcher) Pace() Pace {
-	p := Pace{Part: 1}
+// LoadStats returns the current load statistics.
+func (d *Dispatcher) LoadStats() LoadStats {
+	p := LoadStats{AdmitRatio: 1}
 	if last := d.shared.pace.Load(); last != nil {
 		p = *last
 	}
-	p.Screened = d.screen.count.Load()
+	p.RefusedEarly = d.screen.count.Load()
 	return p
 }
--- a/internal/dispatch/rosters_test.go
+++ b/internal/dispatch/rosters_test.go
@@ -44,7 +44,7 @@
 func TestRosterIsToldOnceAndThenItsChanges(t *testing.T) {
 	const routers, to = 50, "10.0.0.7:7"
 	n := &sentNet{}
-	s := newState(New(Identity{Name: "a", Address: "10.0.1.1:7", Zone: "x", Inc: 1}, noSource{}, n))
+	s := newState(New(Identity{Name: "a", Address: "10.0.1.1:7", Zone: "x", Incarnation: 1}, noSource{}, n))
 	s.now = time.Hour
 	heard := func(inc uint64, number int) {
 		s.roster.Heard(s.now, roster.Member{Address: fmt.Sprintf("10.0.0.%d:7", number), Zone: "x", Inc: inc})
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -89,11 +89,11 @@
 const missingPart = 0.75
 
 func newState(d *Dispatcher) *state {
-	self := roster.Member{Address: d.id.Address, Name: d.id.Name, Zone: d.id.Zone, Inc: d.id.Inc, Capacity: d.id.Capacity}
+	self := roster.Member{Address: d.id.Address, Name: d.id.Name, Zone: d.id.Zone, Inc: d.id.Incarnation, Capacity: d.id.Capacity}
 	now := d.now()
 	s := &state{
 		d: d, now: now, lastRun: now, suspended: d.opt.clock.Suspended(),
-		core:      admit.New(admit.Router{Address: d.id.Address, Zone: d.id.Zone, Capacity: d.id.Capacity}, append(d.opt.core, admit.WithSeed(d.id.Inc))...),
+		core:      admit.New(admit.Router{Address: d.id.Address, Zone: d.id.Zone, Capacity: d.id.Capacity}, append(d.opt.core, admit.WithSeed(d.id.Incarnation))...),
 		roster:    roster.New(self, d.opt.seeds),
 		allowance: allowance.New(d.opt.rule, now),
 		rule:      d.opt.rule,
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -24,9 +24,9 @@
 	Epoch             uint64 `json:"epoch"`
 	AsOf              uint64 `json:"as_of"`
 	VerifiedMillisAgo int64  `json:"verified_ms_ago"`
-	// Turn is the place among the readers of the platform.
-	Turn     int64 `json:"reader_turn"`
-	Draining bool  `json:"draining"`
+	// ReaderRank is the router's position in the order of platform readers, from 0.
+	ReaderRank int64 `json:"reader_turn"`
+	Draining   bool  `json:"draining"`
 	// Live are the routers that live, Relay says that this one is a relay of
 	// its zone.
 	Live  []string `json:"live"`
@@ -35,27 +35,27 @@
 	Owned []string `json:"owned"`
 	// Untrusted are the backend servers that this router does not trust.
 	Untrusted []string `json:"untrusted"`
-	// Leaving are the backend servers that leave by their own word, Resting those that
-	// want no request from this router, and for how many milliseconds still.
-	Leaving []string         `json:"leaving,omitempty"`
-	Resting map[string]int64 `json:"resting_ms,omitempty"`
-	// Suspects are the requests under which the most backend servers ended,
-	// SuspectCount is how many are remembered.
+	// Leaving are the backend servers that announced their shutdown. BackingOff maps those
+	// that asked this router to pause to the remaining milliseconds.
+	Leaving    []string         `json:"leaving,omitempty"`
+	BackingOff map[string]int64 `json:"resting_ms,omitempty"`
+	// Suspects are the requests with the most backend terminations, SuspectCount is the
+	// number of requests tracked.
 	Suspects     []Suspect `json:"suspects,omitempty"`
 	SuspectCount int       `json:"suspect_count"`
-	// EndsCleared counts ends of requests that are not remembered any more, by the reason:
-	// the request ran, the backend server lives, they were old, or there was no room.
-	EndsCleared map[suspect.Why]int64 `json:"ends_cleared,omitempty"`
+	// TerminationsCleared counts the backend terminations that are no longer tracked, by
+	// reason.
+	TerminationsCleared map[suspect.Why]int64 `json:"ends_cleared,omitempty"`
 	// ClosedZones are the availability zones that operators have closed, Warming how
 	// many backend servers warm up.
 	ClosedZones []string `json:"closed_zones"`
 	Warming     int      `json:"warming"`
-	// Unusable are entries of the directory that cannot be used, and why; UnusableCount
-	// is how many there are, of which these may be a part. Damaged counts such entries
-	// since the start, by reason.
-	Unusable      []Entry                  `json:"unusable,omitempty"`
+	// Unusable lists directory entries that the router cannot use; it may be truncated.
+	// UnusableCount is their full number. UnusableTotal counts such entries since the
+	// start, by reason.
+	Unusable      []UnusableEntry          `json:"unusable,omitempty"`
 	UnusableCount int                      `json:"unusable_count"`
-	Damaged       map[catalog.Reason]int64 `json:"damaged,omitempty"`
+	UnusableTotal map[catalog.Reason]int64 `json:"damaged,omitempty"`
 	// Waiting is how many requests wait.
 	Waiting int `json:"waiting"`
 	// Calls is how many calls of the platform were made, 0 if its source does
@@ -75,17 +75,17 @@
 	s.status = s.now
 	s.logTrust()
 	st := &Status{
-		Name: s.d.id.Name, Zone: s.d.id.Zone, Incarnation: s.d.id.Inc, Epoch: s.catalog.AsOf().Epoch, AsOf: s.catalog.AsOf().Number, Turn: s.d.shared.turn.Load(),
+		Name: s.d.id.Name, Zone: s.d.id.Zone, Incarnation: s.d.id.Incarnation, Epoch: s.catalog.AsOf().Epoch, AsOf: s.catalog.AsOf().Number, ReaderRank: s.d.shared.turn.Load(),
 		VerifiedMillisAgo: (s.now - time.Duration(s.d.shared.verified.Load())).Milliseconds(),
 		Live:              s.roster.Live(s.now), Relay: s.talk.Relay, Owned: s.core.Owned(), Waiting: s.core.Waiting(),
 		ClosedZones: s.closed, Warming: s.core.Warming(), SuspendedMillis: s.suspended.Milliseconds(),
 	}
 	st.Unusable, st.UnusableCount = s.unusableEntries()
-	st.Damaged = s.catalog.Damaged()
+	st.UnusableTotal = s.catalog.Damaged()
 	st.Untrusted = slices.Sorted(maps.Keys(s.untrusted))
 	s.publishWords(st)
 	st.Suspects, st.SuspectCount = s.suspects()
-	st.EndsCleared = maps.Clone(s.cleared)
+	st.TerminationsCleared = maps.Clone(s.cleared)
 	if c, ok := s.d.source.(counter); ok {
 		st.Calls = c.Calls()
 	}
@@ -98,9 +98,9 @@
 // publishWords tells which backend servers leave or rest by their own word.
 func (s *state) publishWords(st *Status) {
 	leaving, resting := s.core.Words()
-	st.Leaving, st.Resting = leaving, make(map[string]int64, len(resting))
+	st.Leaving, st.BackingOff = leaving, make(map[string]int64, len(resting))
 	for name, left := range resting {
-		st.Resting[name] = left.Milliseconds()
+		st.BackingOff[name] = left.Milliseconds()
 	}
 }
 
@@ -126,7 +126,7 @@
 
 // Status is the same.
 func (d *Dispatcher) Status() Status {
-	st := Status{Name: d.id.Name, Zone: d.id.Zone, Incarnation: d.id.Inc}
+	st := Status{Name: d.id.Name, Zone: d.id.Zone, Incarnation: d.id.Incarnation}
 	if p := d.shared.status.Load(); p != nil {
 		st = *p
 	}
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -66,12 +66,12 @@
 
 func digestText(d suspect.Digest) string { return fmt.Sprintf("%016x", uint64(d)) }
 
-// Suspect is a request that was under way at backend servers when these ended.
+// Suspect is a request that was running on backend servers when they terminated.
 type Suspect struct {
-	// Digest identifies it, Ends is how many backend servers ended, LastMillisAgo when
-	// the last one did.
+	// Digest identifies the request, Terminations is the number of backend servers that
+	// terminated, LastMillisAgo the age of the last termination.
 	Digest        string `json:"digest"`
-	Ends          int    `json:"ends"`
+	Terminations  int    `json:"ends"`
 	LastMillisAgo int64  `json:"last_ms_ago"`
 }
 
@@ -82,7 +82,7 @@
 			list = append(list, Suspect{Digest: digestText(e.Digest)})
 		}
 		last := &list[len(list)-1]
-		last.Ends++
+		last.Terminations++
 		last.LastMillisAgo = (s.now - e.At).Milliseconds()
 	}
 	return list, s.core.SuspectCount()
--- a/internal/dispatch/suspects_test.go
+++ b/internal/dispatch/suspects_test.go
@@ -53,7 +53,7 @@
 func startOne(t *testing.T, opts ...Option) (*Dispatcher, oneWire) {
 	t.Helper()
 	net := oneWire{make(chan peer.Inbound)}
-	d := New(Identity{Name: "r-0", Address: "r-0", Zone: "a", Inc: 1}, oneServer{}, net, append(opts, WithLogger(slog.New(slog.DiscardHandler)))...)
+	d := New(Identity{Name: "r-0", Address: "r-0", Zone: "a", Incarnation: 1}, oneServer{}, net, append(opts, WithLogger(slog.New(slog.DiscardHandler)))...)
 	d.Start()
 	t.Cleanup(d.Close)
 	for end := time.Now().Add(generous); d.Table() == nil; time.Sleep(time.Millisecond) {
--- a/internal/dispatch/unusable.go
+++ b/internal/dispatch/unusable.go
@@ -63,18 +63,18 @@
 	}
 }
 
-// Entry is an entry of the directory that cannot be used.
-type Entry struct {
+// UnusableEntry is an entry of the backend directory that the router cannot use.
+type UnusableEntry struct {
 	Backend string         `json:"backend"`
 	Reason  catalog.Reason `json:"reason"`
 	Field   string         `json:"field,omitempty"`
 }
 
 // unusableEntries lists the entries that cannot be used, by name, and counts them.
-func (s *state) unusableEntries() (list []Entry, count int) {
+func (s *state) unusableEntries() (list []UnusableEntry, count int) {
 	by, count := s.catalog.Unusable()
 	for _, name := range slices.Sorted(maps.Keys(by)) {
-		list = append(list, Entry{Backend: name, Reason: by[name].Reason, Field: by[name].Field})
+		list = append(list, UnusableEntry{Backend: name, Reason: by[name].Reason, Field: by[name].Field})
 	}
 	return list, count
 }
@@ -82,7 +82,7 @@
 // isOwn reports whether an address is one of this router's, or, by its port, one where
 // another router listens for callers or peers: a request sent there would go round.
 func (s *state) isOwn(address string) bool {
-	if slices.Contains(s.d.id.Listens, address) {
+	if slices.Contains(s.d.id.ListenAddresses, address) {
 		return true
 	}
 	host, port, err := net.SplitHostPort(address)
@@ -90,7 +90,7 @@
 		return false
 	}
 	own, _, err := net.SplitHostPort(s.d.id.Address)
-	return err == nil && own != host && slices.ContainsFunc(s.d.id.Listens, func(l string) bool {
+	return err == nil && own != host && slices.ContainsFunc(s.d.id.ListenAddresses, func(l string) bool {
 		_, p, err := net.SplitHostPort(l)
 		return err == nil && p == port
 	})
--- a/internal/dispatch/unusable_test.go
+++ b/internal/dispatch/unusable_test.go
@@ -18,7 +18,7 @@
 func TestWriterOfDamagedEntries(t *testing.T) {
 	const perSecond, seconds = 100, 5
 	var log bytes.Buffer
-	d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Inc: 1}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.NewTextHandler(&log, nil))))
+	d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Incarnation: 1}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.NewTextHandler(&log, nil))))
 	s := newState(d)
 	good := catalog.Server{Revision: 2, Backend: table.Backend{Name: "good", Zone: "a", Address: "10.0.0.9:80", Models: []string{"reader"}, Slots: 8, Mark: table.Serving}}
 	heard{News: catalog.News{AsOf: 2, Table: &table.Table{Revision: 1}, Servers: []catalog.Server{good}}}.apply(s)
@@ -35,7 +35,7 @@
 		t.Error("no line has the entry, its revision and the reason")
 	}
 	list, count := s.unusableEntries()
-	if count != 1 || len(list) != 1 || list[0] != (Entry{"bad", "wrong-type", "slots"}) || s.catalog.Damaged()["wrong-type"] != perSecond*seconds {
+	if count != 1 || len(list) != 1 || list[0] != (UnusableEntry{"bad", "wrong-type", "slots"}) || s.catalog.Damaged()["wrong-type"] != perSecond*seconds {
 		t.Errorf("%v of %d, counted %v", list, count, s.catalog.Damaged())
 	}
 	if b, ok := d.Table().Backend("good"); !ok || b.Mark != table.Serving || s.catalog.AsOf().Number != 2+perSecond*seconds {
@@ -57,7 +57,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Inc: 1, Listens: []string{"10.0.0.1:8000", "10.0.0.1:7"}}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.DiscardHandler)))
+			d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Incarnation: 1, ListenAddresses: []string{"10.0.0.1:8000", "10.0.0.1:7"}}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.DiscardHandler)))
 			s := newState(d)
 			s.roster.Heard(s.now, roster.Member{Address: "10.0.0.2:7", Name: "q", Zone: "a", Inc: 1})
 			if got := s.isOwn(tc.address); got != tc.want {
@@ -70,7 +70,7 @@
 // TestLacksATable has a router start with a table that cannot be used: it says so, and
 // takes the first good one.
 func TestLacksATable(t *testing.T) {
-	d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Inc: 1}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.DiscardHandler)))
+	d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Incarnation: 1}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.DiscardHandler)))
 	s := newState(d)
 	skipped := catalog.Skipped{Key: "config", Revision: 4, Unusable: catalog.Unusable{Reason: catalog.Unreadable, Field: "unexpected end"}}
 	heard{News: catalog.News{AsOf: 4, Skipped: []catalog.Skipped{skipped}}}.apply(s)
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -178,7 +178,7 @@
 	r.out = map[string]*simLink{}
 	r.in = map[string]*wire.Decoder{}
 	r.startedAt, r.lastAt = w.now, w.now
-	d := New(Identity{Name: name, Address: name, Zone: r.zone, Inc: r.inc}, noSource{}, r,
+	d := New(Identity{Name: name, Address: name, Zone: r.zone, Incarnation: r.inc}, noSource{}, r,
 		WithLogger(slog.New(slog.DiscardHandler)), WithWeights())
 	d.opt.wall = func() time.Time { return time.Unix(0, int64(w.now)) }
 	r.state = newState(d)
@@ -213,7 +213,7 @@
 	return list
 }
 
-// Send implements Net: the message goes through the real codec.
+// Send implements Transport: the message goes through the real codec.
 func (r *simRouter) SetIncarnation(uint64) {}
 
 func (r *simRouter) Send(to string, msg any) {
--- a/internal/measure/faults.go
+++ b/internal/measure/faults.go
@@ -205,7 +205,7 @@
 	if n.Router != nil {
 		return n.Router.Freeze()
 	}
-	return n.Dispatch.Freeze()
+	return n.Dispatch.PauseLoop()
 }
 
 // mark marks a backend server; the mark stays.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -210,12 +210,12 @@
 
 // startDispatcher makes the scheduler of a router that follows a platform.
 func (n *Node) startDispatcher(s config.Settings, o options, t tlsAll, p Platform, inc uint64) {
-	id := dispatch.Identity{Name: s.Name, Address: n.ls.peers.Addr().String(), Zone: s.Zone, Inc: inc, Capacity: s.Machine.Processors, Listens: n.ls.addresses()}
+	id := dispatch.Identity{Name: s.Name, Address: n.ls.peers.Addr().String(), Zone: s.Zone, Incarnation: inc, Capacity: s.Machine.Processors, ListenAddresses: n.ls.addresses()}
 	n.forwarder = forward.New(forward.WithGather(n.gatherForwarded), forward.WithClock(n.clock))
-	n.Peers = peer.New(id.Name, id.Zone, id.Inc, n.ls.peers, append(n.peerOptions(o, t), peer.WithAddress(id.Address), peer.WithTaken(n.forwarder.Take))...)
+	n.Peers = peer.New(id.Name, id.Zone, id.Incarnation, n.ls.peers, append(n.peerOptions(o, t), peer.WithAddress(id.Address), peer.WithTaken(n.forwarder.Take))...)
 	opts := []dispatch.Option{
 		dispatch.WithLogger(n.log), dispatch.WithSeeds(s.Seeds), dispatch.WithApplyWithin(s.ApplyWithin),
-		dispatch.WithRule(ruleOf(s.Retries)), dispatch.WithForwarder(n.forwarder), dispatch.WithClock(n.clock),
+		dispatch.WithRetryBudget(ruleOf(s.Retries)), dispatch.WithForwarder(n.forwarder), dispatch.WithClock(n.clock),
 	}
 	if p.Backends.Instance != "" {
 		opts = append(opts, dispatch.WithUniqueStarts())
@@ -225,13 +225,13 @@
 
 // startOwners makes the scheduler of a router that follows values of the platform.
 func (n *Node) startOwners(s config.Settings, o options, t tlsAll, inc uint64) {
-	id := dispatch.Identity{Name: s.Name, Address: n.ls.peers.Addr().String(), Zone: s.Zone, Inc: inc, Capacity: s.Machine.Processors, Listens: n.ls.addresses()}
-	n.Peers = peer.New(id.Name, id.Zone, id.Inc, n.ls.peers, append(n.peerOptions(o, t), peer.WithAddress(id.Address))...)
+	id := dispatch.Identity{Name: s.Name, Address: n.ls.peers.Addr().String(), Zone: s.Zone, Incarnation: inc, Capacity: s.Machine.Processors, ListenAddresses: n.ls.addresses()}
+	n.Peers = peer.New(id.Name, id.Zone, id.Incarnation, n.ls.peers, append(n.peerOptions(o, t), peer.WithAddress(id.Address))...)
 	n.Platform = platform.New(s.Platform, platform.WithTransport(&http.Transport{DialContext: o.dialer.DialContext}))
 	n.loads = backend.NewLoads(o.dialer)
 	n.Dispatch = dispatch.New(id, values.New(n.Platform), n.Peers,
 		dispatch.WithLogger(n.log), dispatch.WithSeeds(s.Seeds), dispatch.WithApplyWithin(s.ApplyWithin),
-		dispatch.WithRule(ruleOf(s.Retries)), dispatch.WithClock(n.clock), dispatch.WithWeights(), dispatch.WithLoads(n.loads))
+		dispatch.WithRetryBudget(ruleOf(s.Retries)), dispatch.WithClock(n.clock), dispatch.WithWeights(), dispatch.WithLoadReader(n.loads))
 }
 
 // gatherPart is the part of the time within which an event is to reach its caller for
@@ -295,7 +295,7 @@
 	n.mu.Unlock()
 	n.Front.SetCallers(callersOf(s))
 	if n.Dispatch != nil {
-		n.Dispatch.SetRule(ruleOf(s.Retries), s.ApplyWithin)
+		n.Dispatch.Reconfigure(ruleOf(s.Retries), s.ApplyWithin)
 	}
 }
 
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -158,13 +158,13 @@
 		metrics.Owned:          int64(len(s.Owned)),
 		metrics.Untrusted:      int64(len(s.Untrusted)),
 		metrics.LeavingServers: int64(len(s.Leaving)),
-		metrics.RestingServers: int64(len(s.Resting)),
+		metrics.RestingServers: int64(len(s.BackingOff)),
 		metrics.ClosedZones:    int64(len(s.ClosedZones)),
 		metrics.Warming:        int64(s.Warming),
 		metrics.Unverified:     s.VerifiedMillisAgo / time.Second.Milliseconds(),
 		metrics.Unusable:       int64(s.UnusableCount),
 	})
-	for reason, total := range s.Damaged {
+	for reason, total := range s.UnusableTotal {
 		n.metrics.Event("unusable_"+string(reason), total)
 	}
 }
--- a/internal/node/work.go
+++ b/internal/node/work.go
@@ -22,7 +22,7 @@
 func (n *Node) workNow() work {
 	passed, p := n.backend.Passed(), n.Peers.Counters()
 	return work{
-		processor: processorTime(), requests: n.Front.Requests(), screened: n.Dispatch.Pace().Screened,
+		processor: processorTime(), requests: n.Front.Requests(), screened: n.Dispatch.LoadStats().RefusedEarly,
 		events: passed.Events, sends: passed.Sends, messages: p.MessagesIn.Load() + p.MessagesOut.Load(),
 	}
 }
@@ -39,17 +39,17 @@
 // gaugeWork copies what the time went to into metrics, and logs it while this
 // router refuses what it has no time for.
 func (n *Node) gaugeWork() {
-	now, before, pace := n.workNow(), n.work, n.Dispatch.Pace()
+	now, before, pace := n.workNow(), n.work, n.Dispatch.LoadStats()
 	n.work = now
 	n.setGauges(map[string]int64{
 		metrics.Passed: now.events, metrics.Sends: now.sends, metrics.Screened: now.screened,
 	})
 	n.metrics.Gauge(metrics.Processor, now.processor.Seconds())
-	n.metrics.Gauge(metrics.Late, pace.Late.Seconds())
-	if pace.Part >= 1 {
+	n.metrics.Gauge(metrics.Late, pace.Lag.Seconds())
+	if pace.AdmitRatio >= 1 {
 		return
 	}
-	n.log.Info("router_work", "processor_ms", (now.processor - before.processor).Milliseconds(), "late_ms", pace.Late.Milliseconds(),
-		"part", pace.Part, "can_per_s", int(pace.Rate), "requests", now.requests-before.requests, "refused_unseen", now.screened-before.screened,
+	n.log.Info("router_work", "processor_ms", (now.processor - before.processor).Milliseconds(), "late_ms", pace.Lag.Milliseconds(),
+		"part", pace.AdmitRatio, "can_per_s", int(pace.Rate), "requests", now.requests-before.requests, "refused_unseen", now.screened-before.screened,
 		"stream_events", now.events-before.events, "caller_sends", now.sends-before.sends, "peer_messages", now.messages-before.messages)
 }
