--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -17,7 +17,7 @@
 var errDraining = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "draining",
 	"this entry instance is stopping; send the request again")
 
-var errGone = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "stopping", "this entry instance is stopping; send the request again")
+var errStopping = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "stopping", "this entry instance is stopping; send the request again")
 
 // decision is what became of an attempt.
 type decision struct {
@@ -25,39 +25,39 @@
 	start  admit.Start
 	err    *verdict.Error
 	waited time.Duration
-	// at is when it was taken.
-	at time.Duration
-	// served counts its tokens, where it was started.
-	served *atomic.Int64
+	// decidedAt is when it was taken.
+	decidedAt time.Duration
+	// tokens counts its tokens, where it was started.
+	tokens *atomic.Int64
 }
 
 // attempt is a request that a caller's task waits for.
 type attempt struct {
 	request front.Request
 	// digest identifies the request, 0 if nobody can.
-	digest suspect.Digest
-	at     time.Time
-	answer chan decision
+	digest    suspect.Digest
+	arrivedAt time.Time
+	result    chan decision
 }
 
 // Acquire implements front.Scheduler.
 func (d *Dispatcher) Acquire(ctx context.Context, r front.Request) (front.Grant, error) {
-	a := &attempt{request: r, at: d.opt.clock.Now(), answer: make(chan decision, 1)}
+	a := &attempt{request: r, arrivedAt: d.opt.clock.Now(), result: make(chan decision, 1)}
 	// Always: a backend server may end under another try while this one waits.
 	if r.Digest != nil {
 		a.digest = suspect.Digest(r.Digest())
 	}
-	if !d.post(arrive{a}) {
-		return front.Grant{}, errGone
+	if !d.post(arriveEvent{a}) {
+		return front.Grant{}, errStopping
 	}
 	select {
-	case got := <-a.answer:
+	case got := <-a.result:
 		return d.grant(r, got)
 	case <-ctx.Done():
-		d.post(abandon{a})
+		d.post(cancelEvent{a})
 		return front.Grant{}, ctx.Err()
 	case <-d.ctx.Done():
-		return front.Grant{}, errGone
+		return front.Grant{}, errStopping
 	}
 }
 
@@ -67,36 +67,36 @@
 	}
 	return front.Grant{
 		ID: got.id, Backend: got.start.Backend.Name, Address: got.start.Backend.Address, Born: got.start.Backend.Born, Why: got.start.Why,
-		FetchFrom: got.start.FetchFrom, Connections: d.connectionsPart(r.Model),
+		FetchFrom: got.start.FetchFrom, Connections: d.connectionShare(r.Model),
 		Ahead: got.start.Ahead, Expected: got.start.Expected, Running: got.start.Running,
-		Served: got.served, Waited: r.Waited + got.waited,
-		First:   func() { d.post(began{got.id}) },
-		Said:    func(w backend.Said) { d.post(said{got.id, w}) },
+		Served: got.tokens, Waited: r.Waited + got.waited,
+		First:   func() { d.post(firstOutputEvent{got.id}) },
+		Said:    func(w backend.Said) { d.post(noticeEvent{got.id, w}) },
 		Hurried: d.Saturated,
 		// A router that stood still for longer has lost its place to another.
-		MayStart: func() bool { return d.now()-got.at < d.startWithin() },
+		MayStart: func() bool { return d.now()-got.decidedAt < d.startTimeout() },
 	}, nil
 }
 
-// startWithin is how long a place may be used after it was given.
-func (d *Dispatcher) startWithin() time.Duration {
-	if d.opt.weights {
+// startTimeout is how long a place may be used after it was given.
+func (d *Dispatcher) startTimeout() time.Duration {
+	if d.opt.weighted {
 		return admit.StartWithin
 	}
 	return admit.EntryLostAfter
 }
 
-// restingPart of the connections that a backend server takes is divided among the
+// idleConnectionShare of the connections that a backend server takes is divided among the
 // routers; the rest is for those that carry requests, of which one router may have
 // many while others have none.
-const restingPart = 0.5
+const idleConnectionShare = 0.5
 
-// connectionsPart returns this router's part of the connections that each backend
+// connectionShare returns this router's part of the connections that each backend
 // server of a service takes, 0 if the table does not say how many these are. Routers
 // that each kept what they opened had 1.5 times as many as three plain backend servers
 // take (430) at 62 routers and 300 requests a second, and the rest were reset with
 // requests on them: 774 to 1,379 of 13,600 a day.
-func (d *Dispatcher) connectionsPart(service string) int {
+func (d *Dispatcher) connectionShare(service string) int {
 	t := d.Table()
 	if t == nil {
 		return 0
@@ -105,22 +105,22 @@
 	if !ok || row.MaxConnections <= 0 {
 		return 0
 	}
-	routers := max(1, d.shared.routers.Load())
-	return max(1, int(restingPart*float64(row.MaxConnections)/float64(routers)))
+	routers := max(1, d.shared.routerCount.Load())
+	return max(1, int(idleConnectionShare*float64(row.MaxConnections)/float64(routers)))
 }
 
 // Release implements front.Scheduler.
 func (d *Dispatcher) Release(g front.Grant, u front.Usage) {
-	e := ended{id: g.ID, tokens: u.Tokens, result: resultOf(u), request: u.Request, cut: wasCut(u), whole: u.Error == nil && u.Status < http.StatusInternalServerError}
+	e := endEvent{id: g.ID, tokens: u.Tokens, result: resultOf(u), request: u.Request, disconnected: wasDisconnected(u), completed: u.Error == nil && u.Status < http.StatusInternalServerError}
 	if u.Digest != nil {
 		e.digest = suspect.Digest(u.Digest())
 	}
 	d.post(e)
 }
 
-// wasCut reports whether the backend server broke off while the request was under way
+// wasDisconnected reports whether the backend server broke off while the request was under way
 // there. One that falls silent may only be slow, as all are where a machine has no time.
-func wasCut(u front.Usage) bool {
+func wasDisconnected(u front.Usage) bool {
 	return u.Error != nil && u.Sent && !u.Silent && (u.Error.Code == "answer-cut" || u.Error.Code == "backend-broke")
 }
 
@@ -153,7 +153,7 @@
 // MayRetry implements front.Scheduler.
 func (d *Dispatcher) MayRetry(r front.Request) bool {
 	answer := make(chan bool, 1)
-	if !d.post(spend{r.Model, answer}) {
+	if !d.post(retryEvent{r.Model, answer}) {
 		return false
 	}
 	select {
@@ -164,23 +164,23 @@
 	}
 }
 
-type spend struct {
+type retryEvent struct {
 	service string
 	answer  chan<- bool
 }
 
-func (e spend) apply(s *state) {
-	routers := s.roster.Lately(s.now, s.rule.Window)
+func (e retryEvent) apply(s *state) {
+	routers := s.roster.Lately(s.now, s.retryRule.Window)
 	e.answer <- s.allowance.Spend(s.now, e.service, routers)
 }
 
-type arrive struct{ *attempt }
+type arriveEvent struct{ *attempt }
 
-func (e arrive) apply(s *state) {
+func (e arriveEvent) apply(s *state) {
 	s.nextID++
 	id := s.nextID
 	s.waiting[id] = e.attempt
-	if s.d.opt.weights && s.d.Draining() {
+	if s.d.opt.weighted && s.d.Draining() {
 		s.reply(id, decision{err: errDraining.After(time.Second)})
 		return
 	}
@@ -191,7 +191,7 @@
 	s.step(admit.Arrive{Request: admit.Request{
 		ID: id, Service: r.Model, Account: r.Account, AccountRank: r.AccountRank, Rank: r.Rank, Prefix: r.Prefix,
 		Prompt: r.Prompt, Shared: r.Shared, Output: r.Output, Target: r.Target, Patience: r.Patience,
-		Deadline: s.now + r.Deadline.Sub(e.at), Again: r.Attempt > 0, Begun: r.Begun, Avoid: r.Avoid,
+		Deadline: s.now + r.Deadline.Sub(e.arrivedAt), Again: r.Attempt > 0, Begun: r.Begun, Avoid: r.Avoid,
 		Answering: r.Answering, Digest: e.digest, Priority: r.Priority,
 	}})
 }
@@ -203,15 +203,15 @@
 		return
 	}
 	delete(s.waiting, id)
-	got.id, got.at = id, s.now
-	a.answer <- got
+	got.id, got.decidedAt = id, s.now
+	a.result <- got
 }
 
-// abandon takes back an attempt whose caller has left: it still waits, or it
+// cancelEvent takes back an attempt whose caller has left: it still waits, or it
 // was started a moment ago and will not be sent.
-type abandon struct{ *attempt }
+type cancelEvent struct{ *attempt }
 
-func (e abandon) apply(s *state) {
+func (e cancelEvent) apply(s *state) {
 	for id, a := range s.waiting {
 		if a == e.attempt {
 			delete(s.waiting, id)
@@ -220,18 +220,18 @@
 		}
 	}
 	select {
-	case got := <-e.answer:
+	case got := <-e.result:
 		delete(s.served, got.id)
 		s.step(admit.Cancel{ID: got.id})
 	default:
 	}
 }
 
-// drained has what waits refused: the router takes nothing more.
-type drained struct{}
+// drainEvent has what waits refused: the router takes nothing more.
+type drainEvent struct{}
 
-func (drained) apply(s *state) {
-	if !s.d.opt.weights {
+func (drainEvent) apply(s *state) {
+	if !s.d.opt.weighted {
 		return
 	}
 	for id := range s.waiting {
@@ -240,43 +240,43 @@
 	}
 }
 
-type began struct{ id uint64 }
+type firstOutputEvent struct{ id uint64 }
 
-func (e began) apply(s *state) { s.step(admit.First{ID: e.id}) }
+func (e firstOutputEvent) apply(s *state) { s.step(admit.First{ID: e.id}) }
 
-type said struct {
-	id   uint64
-	word backend.Said
+type noticeEvent struct {
+	id     uint64
+	notice backend.Said
 }
 
-func (e said) apply(s *state) {
-	s.step(admit.Said{ID: e.id, Leaving: e.word.Leaving, Rest: e.word.Rest})
+func (e noticeEvent) apply(s *state) {
+	s.step(admit.Said{ID: e.id, Leaving: e.notice.Leaving, Rest: e.notice.Rest})
 }
 
-type ended struct {
+type endEvent struct {
 	id     uint64
 	result admit.Result
 	// request is the caller's id of the request, digest identifies it whichever try it
 	// is, 0 if nobody can.
-	request    string
-	digest     suspect.Digest
-	cut, whole bool
+	request                 string
+	digest                  suspect.Digest
+	disconnected, completed bool
 	// tokens is what it has used.
 	tokens int64
 }
 
-func (e ended) apply(s *state) {
-	result := blamed(e.result, s.d.Saturated())
+func (e endEvent) apply(s *state) {
+	result := adjustResult(e.result, s.d.Saturated())
 	s.ending = e.request
 	delete(s.served, e.id)
-	s.step(admit.End{ID: e.id, Tokens: e.tokens, Result: result, Digest: e.digest, Cut: e.cut && result != admit.Unknown, Whole: e.whole})
+	s.step(admit.End{ID: e.id, Tokens: e.tokens, Result: result, Digest: e.digest, Cut: e.disconnected && result != admit.Unknown, Whole: e.completed})
 	s.ending = ""
 }
 
-// blamed is what an attempt's end says of the backend server, told by a router that is
+// adjustResult is what an attempt's end says of the backend server, told by a router that is
 // hurried or not: one that cannot keep up hears late of everything, so that a silence may
 // be its own.
-func blamed(result admit.Result, hurried bool) admit.Result {
+func adjustResult(result admit.Result, hurried bool) admit.Result {
 	if hurried && (result == admit.Silent || result == admit.Unreached) {
 		return admit.Unknown
 	}
--- a/internal/dispatch/acquire_test.go
+++ b/internal/dispatch/acquire_test.go
@@ -28,7 +28,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := blamed(tc.result, tc.late); got != tc.want {
+			if got := adjustResult(tc.result, tc.late); got != tc.want {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
 		})
@@ -55,7 +55,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := wasCut(tc.usage); got != tc.want {
+			if got := wasDisconnected(tc.usage); got != tc.want {
 				t.Errorf("cut: %v", got)
 			}
 		})
@@ -81,9 +81,9 @@
 			d := &Dispatcher{}
 			v := &table.Table{Services: []table.ServiceRow{{Name: "desk", MaxConnections: tc.takes}}}
 			v.Index()
-			d.shared.view.Store(v)
-			d.shared.routers.Store(tc.routers)
-			if got := d.connectionsPart("desk"); got != tc.want {
+			d.shared.table.Store(v)
+			d.shared.routerCount.Store(tc.routers)
+			if got := d.connectionShare("desk"); got != tc.want {
 				t.Errorf("%d connections, want %d", got, tc.want)
 			}
 		})
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// claimWithin is how long the homes of a key may take.
-	claimWithin = 2 * time.Second
+	// claimTimeout is how long the homes of a key may take.
+	claimTimeout = 2 * time.Second
 	// keyHomeRetryAfter is when a caller may return whose key's homes cannot be reached.
 	keyHomeRetryAfter = 2 * time.Second
-	// vouchesUpTo is the longest pause after which this router still vouches for keys that
+	// maxVouchPause is the longest pause after which this router still vouches for keys that
 	// it did not record: others take a router for lost, and the list may have changed.
-	vouchesUpTo = time.Second
+	maxVouchPause = time.Second
 )
 
 // Answers to a request whose key was not granted. This request itself did not run, but where
@@ -35,49 +35,49 @@
 		Verdict: verdict.MayHaveRun, Phase: verdict.PhaseAdmit, Status: http.StatusConflict, Code: "key-unknown",
 		Detail: "the fleet cannot know whether this idempotency key was used; look up what became of it, or send when it was first used as Idempotency-Key-Time",
 	}
-	errKeyHome = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "key-home-unreachable",
+	errKeyHomesUnreachable = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "key-home-unreachable",
 		"the routers that remember this idempotency key cannot be reached; come back later")
 )
 
-// keys is a router's part in the use of idempotency keys: a home of some, and a claimant of
+// idempotencyKeys is a router's part in the use of idempotency idempotencyKeys: a home of some, and a claimant of
 // those of its callers. Homes are chosen by the platform's list, which says nothing of who
 // lives, so that a home that is away keeps its place.
-type keys struct {
+type idempotencyKeys struct {
 	homes *once.Homes
-	// listed are the routers of each zone by the platform's list, sorted.
-	listed map[string][]string
-	claims map[uint64]*claiming
-	lastID uint64
-	// wall is the wall time at the start less the dispatcher's clock: callers say by the
-	// wall clock when they first used a key.
-	wall time.Duration
+	// routersByZone are the routers of each zone by the platform's list, sorted.
+	routersByZone map[string][]string
+	pending       map[uint64]*pendingClaim
+	lastSeq       uint64
+	// wallOffset is the wallOffset time at the start less the dispatcher's clock: callers say by the
+	// wallOffset clock when they first used a key.
+	wallOffset time.Duration
 }
 
-// claiming is a key that this router waits to hear of.
-type claiming struct {
-	msg    *wire.Claim
-	answer chan<- error
-	until  time.Duration
-	homes  []string
-	ballot *once.Ballot
+// pendingClaim is a key that this router waits to hear of.
+type pendingClaim struct {
+	msg      *wire.Claim
+	answer   chan<- error
+	deadline time.Duration
+	homes    []string
+	ballot   *once.Ballot
 }
 
-func newKeys(self string, now time.Duration, at time.Time) *keys {
+func newIdempotencyKeys(self string, now time.Duration, at time.Time) *idempotencyKeys {
 	wall := time.Duration(at.UnixNano()) - now
-	return &keys{homes: once.New(self, now+wall), listed: map[string][]string{}, claims: map[uint64]*claiming{}, wall: wall}
+	return &idempotencyKeys{homes: once.New(self, now+wall), routersByZone: map[string][]string{}, pending: map[uint64]*pendingClaim{}, wallOffset: wall}
 }
 
-func keyOf(c front.Claim) string { return c.Account + "\x00" + c.Key }
+func scopedKey(c front.Claim) string { return c.Account + "\x00" + c.Key }
 
 // Claim implements front.Scheduler.
 func (d *Dispatcher) Claim(ctx context.Context, cl front.Claim) error {
 	answer := make(chan error, 1)
-	msg := &wire.Claim{Key: keyOf(cl), Request: cl.Request}
+	msg := &wire.Claim{Key: scopedKey(cl), Request: cl.Request}
 	if !cl.At.IsZero() {
 		msg.At = cl.At.UnixMilli()
 	}
-	if !d.post(claimKey{&claiming{msg: msg, answer: answer}}) {
-		return errGone
+	if !d.post(claimEvent{&pendingClaim{msg: msg, answer: answer}}) {
+		return errStopping
 	}
 	select {
 	case err := <-answer:
@@ -85,99 +85,99 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-d.ctx.Done():
-		return errGone
+		return errStopping
 	}
 }
 
 // Unclaim implements front.Scheduler.
 func (d *Dispatcher) Unclaim(cl front.Claim) {
-	d.post(voidKey{&wire.ClaimVoid{Key: keyOf(cl), Request: cl.Request}})
+	d.post(voidClaimEvent{&wire.ClaimVoid{Key: scopedKey(cl), Request: cl.Request}})
 }
 
-type claimKey struct{ *claiming }
+type claimEvent struct{ *pendingClaim }
 
-func (e claimKey) apply(s *state) {
+func (e claimEvent) apply(s *state) {
 	k := s.keys
-	k.lastID++
-	e.msg.Seq = k.lastID
-	e.until = s.now + claimWithin
+	k.lastSeq++
+	e.msg.Seq = k.lastSeq
+	e.deadline = s.now + claimTimeout
 	e.homes = k.homesOf(e.msg.Key, s.d.id.Zone)
 	e.ballot = once.NewBallot(len(e.homes))
-	k.claims[e.msg.Seq] = e.claiming
+	k.pending[e.msg.Seq] = e.pendingClaim
 	for _, home := range e.homes {
-		s.sendOrTake(home, e.msg)
+		s.sendOrHandle(home, e.msg)
 	}
 }
 
-type voidKey struct{ msg *wire.ClaimVoid }
+type voidClaimEvent struct{ msg *wire.ClaimVoid }
 
-func (e voidKey) apply(s *state) { s.void(s.keys.homesOf(e.msg.Key, s.d.id.Zone), e.msg) }
+func (e voidClaimEvent) apply(s *state) { s.voidClaim(s.keys.homesOf(e.msg.Key, s.d.id.Zone), e.msg) }
 
-func (s *state) void(homes []string, msg *wire.ClaimVoid) {
+func (s *state) voidClaim(homes []string, msg *wire.ClaimVoid) {
 	for _, home := range homes {
-		s.sendOrTake(home, msg)
+		s.sendOrHandle(home, msg)
 	}
 }
 
-// sendOrTake sends a message about a key to a router, which may be this one.
-func (s *state) sendOrTake(to string, msg any) {
+// sendOrHandle sends a message about a key to a router, which may be this one.
+func (s *state) sendOrHandle(to string, msg any) {
 	if to == s.d.id.Address {
-		s.receiveClaim(to, msg)
+		s.handleClaimMessage(to, msg)
 		return
 	}
 	s.d.net.Send(to, msg)
 }
 
 // homesOf returns the homes of a key by the platform's list, for a router of a zone.
-func (k *keys) homesOf(key, zone string) []string {
-	zones := slices.Sorted(maps.Keys(k.listed))
+func (k *idempotencyKeys) homesOf(key, zone string) []string {
+	zones := slices.Sorted(maps.Keys(k.routersByZone))
 	if !slices.Contains(zones, zone) {
 		zones = append(zones, zone)
 		slices.Sort(zones)
 	}
-	return once.Of(key, k.listed[once.Zone(key, zones)])
+	return once.Of(key, k.routersByZone[once.Zone(key, zones)])
 }
 
-// setList takes in the platform's list of routers.
-func (k *keys) setList(now time.Duration, zone string, list []platform.Instance) {
-	k.listed = map[string][]string{}
+// setRouters takes in the platform's list of routers.
+func (k *idempotencyKeys) setRouters(now time.Duration, zone string, list []platform.Instance) {
+	k.routersByZone = map[string][]string{}
 	for _, i := range list {
-		k.listed[i.Zone] = append(k.listed[i.Zone], i.Address)
+		k.routersByZone[i.Zone] = append(k.routersByZone[i.Zone], i.Address)
 	}
-	for _, addresses := range k.listed {
+	for _, addresses := range k.routersByZone {
 		slices.Sort(addresses)
 	}
-	k.homes.SetRouters(now+k.wall, k.listed[zone])
+	k.homes.SetRouters(now+k.wallOffset, k.routersByZone[zone])
 }
 
-func (s *state) receiveClaim(from string, msg any) {
+func (s *state) handleClaimMessage(from string, msg any) {
 	switch m := msg.(type) {
 	case *wire.Claim:
-		s.sendOrTake(from, s.keys.homes.Claim(s.now+s.keys.wall, m))
+		s.sendOrHandle(from, s.keys.homes.Claim(s.now+s.keys.wallOffset, m))
 	case *wire.ClaimVoid:
 		s.keys.homes.Void(m)
 	case *wire.ClaimAnswer:
-		s.claimAnswered(from, m)
+		s.handleClaimAnswer(from, m)
 	}
 }
 
-func (s *state) claimAnswered(from string, m *wire.ClaimAnswer) {
-	cl, ok := s.keys.claims[m.Seq]
+func (s *state) handleClaimAnswer(from string, m *wire.ClaimAnswer) {
+	cl, ok := s.keys.pending[m.Seq]
 	if !ok {
 		return
 	}
 	cl.ballot.Add(from, m.State)
 	if state, final := cl.ballot.Result(); final {
-		s.endClaim(cl, state)
+		s.finishClaim(cl, state)
 	}
 }
 
-// endClaim answers a claim. One that was not granted is taken back, so that it does not
+// finishClaim answers a claim. One that was not granted is taken back, so that it does not
 // stand in the way of the caller's next try.
-func (s *state) endClaim(cl *claiming, state wire.ClaimState) {
-	delete(s.keys.claims, cl.msg.Seq)
+func (s *state) finishClaim(cl *pendingClaim, state wire.ClaimState) {
+	delete(s.keys.pending, cl.msg.Seq)
 	if state != wire.ClaimGranted {
-		s.void(cl.homes, &wire.ClaimVoid{Key: cl.msg.Key, Request: cl.msg.Request})
+		s.voidClaim(cl.homes, &wire.ClaimVoid{Key: cl.msg.Key, Request: cl.msg.Request})
 	}
 	cl.answer <- claimError(state)
 }
@@ -191,18 +191,18 @@
 	case wire.ClaimUnknown:
 		return errKeyUnknown
 	default:
-		return errKeyHome.After(keyHomeRetryAfter)
+		return errKeyHomesUnreachable.After(keyHomeRetryAfter)
 	}
 }
 
-// tickKeys ends the claims that took too long, and forgets keys whose time is over.
-func (s *state) tickKeys() {
-	s.keys.homes.Tick(s.now + s.keys.wall)
-	for _, seq := range slices.Sorted(maps.Keys(s.keys.claims)) {
-		cl := s.keys.claims[seq]
-		if s.now >= cl.until {
+// expireClaims ends the claims that took too long, and forgets keys whose time is over.
+func (s *state) expireClaims() {
+	s.keys.homes.Tick(s.now + s.keys.wallOffset)
+	for _, seq := range slices.Sorted(maps.Keys(s.keys.pending)) {
+		cl := s.keys.pending[seq]
+		if s.now >= cl.deadline {
 			state, _ := cl.ballot.Result()
-			s.endClaim(cl, state)
+			s.finishClaim(cl, state)
 		}
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// tickEvery is the interval of the core's own clock, busyTick while
+	// tickInterval is the interval of the core's own clock, busyTick while
 	// something waits.
-	tickEvery = 50 * time.Millisecond
-	busyTick  = 10 * time.Millisecond
-	inboxSize = 4096
+	tickInterval     = 50 * time.Millisecond
+	busyTickInterval = 10 * time.Millisecond
+	inboxSize        = 4096
 )
 
 // Source is the platform as a router reads it.
@@ -65,71 +65,71 @@
 
 // Dispatcher is one router's scheduler.
 type Dispatcher struct {
-	id      Identity
-	opt     options
-	source  Source
-	net     Transport
-	started time.Time
-	// begun is the same by the steady clock, by which lag is measured: a suspension is
+	id        Identity
+	opt       options
+	source    Source
+	net       Transport
+	startTime time.Time
+	// steadyStart is the same by the steady clock, by which lag is measured: a suspension is
 	// none.
-	begun  time.Time
-	events chan event
-	ctx    context.Context
-	cancel context.CancelFunc
-	tasks  sync.WaitGroup
-	shared shared
-	screen screen
+	steadyStart time.Time
+	events      chan event
+	ctx         context.Context
+	cancel      context.CancelFunc
+	tasks       sync.WaitGroup
+	shared      shared
+	admission   admission
 }
 
 // shared is what other tasks may read of the state.
 type shared struct {
-	view     atomic.Pointer[table.Table]
+	table    atomic.Pointer[table.Table]
 	status   atomic.Pointer[Status]
 	draining atomic.Bool
 	// overloaded says that this router cannot keep up with its requests.
 	overloaded atomic.Bool
-	// hurried says that it could not work on all of its requests a moment ago, refusing
+	// saturated says that it could not work on all of its requests a moment ago, shedding
 	// that it refuses many.
-	hurried, refusing atomic.Bool
-	// pace is how well it keeps up, nil before that was measured.
-	pace atomic.Pointer[LoadStats]
+	saturated, shedding atomic.Bool
+	// loadStats is how well it keeps up, nil before that was measured.
+	loadStats atomic.Pointer[LoadStats]
 	// asOf is the platform's revision up to which all is known, nil before anything is.
 	asOf atomic.Pointer[catalog.Revision]
-	// endWatch ends the watch that waits, nil if there is none.
-	endWatch atomic.Pointer[context.CancelFunc]
-	// verified is when that was last known to be the newest, on the
+	// cancelWatch ends the watch that waits, nil if there is none.
+	cancelWatch atomic.Pointer[context.CancelFunc]
+	// lastVerified is when that was last known to be the newest, on the
 	// dispatcher's clock; 0 if never.
-	verified atomic.Int64
+	lastVerified atomic.Int64
 	// applyWithin is the option of that name, in nanoseconds.
 	applyWithin atomic.Int64
-	// readFails counts the reads of the platform that failed since one did not.
-	readFails atomic.Int64
-	// lack is why there is no table, nil if that is not known.
-	lack atomic.Pointer[error]
-	// routers is how many routers are known, those that fell silent lately with them.
-	routers atomic.Int64
-	// turn is this router's place among those that read the platform.
-	turn atomic.Int64
+	// readFailures counts the reads of the platform that failed since one did not.
+	readFailures atomic.Int64
+	// noTableReason is why there is no table, nil if that is not known.
+	noTableReason atomic.Pointer[error]
+	// routerCount is how many routerCount are known, those that fell silent lately with them.
+	routerCount atomic.Int64
+	// readerRank is this router's place among those that read the platform.
+	readerRank atomic.Int64
 }
 
 type options struct {
 	log         *slog.Logger
 	seeds       []string
-	rule        allowance.Rule
+	retryRule   allowance.Rule
 	applyWithin time.Duration
-	// draw draws from 0 up to 1.
-	draw func() float64
+	// random draws from 0 up to 1.
+	random func() float64
 	// forwarder is told of the other routers, nil if nothing is handed on.
 	forwarder Forwarder
 	clock     *clock.Clock
-	// wall tells the time of day, by which callers say when they first used a key.
-	wall func() time.Time
-	// core are passed on to the decisions.
-	core []admit.Option
-	// weights says that accounts are served by their weights.
-	weights bool
-	// loads reads those of backend servers, nil if nobody does.
-	loads LoadReader
+	// wallClock tells the time of day, by which callers say when they first used a key.
+	wallClock func() time.Time
+	// coreOptions are passed on to the decisions.
+	coreOptions []admit.Option
+	// weighted says that accounts are served by their weighted.
+	weighted bool
+	// loadReader reads those of backend servers, nil if nobody does.
+	loadReader LoadReader
 }
 
 // Forwarder hands callers' connections on to other routers.
@@ -154,7 +154,7 @@
 func WithSeeds(seeds []string) Option { return func(o *options) { o.seeds = seeds } }
 
 // WithRetryBudget sets the fleet's retry budget.
-func WithRetryBudget(r allowance.Rule) Option { return func(o *options) { o.rule = r } }
+func WithRetryBudget(r allowance.Rule) Option { return func(o *options) { o.retryRule = r } }
 
 // WithApplyWithin sets within what time a change at the platform is to be in
 // force at every router that can hear of it.
@@ -166,12 +166,12 @@
 // WithUniqueStarts says that each start of a backend server has a name of its own unless the
 // directory gives it a number, and refuses what is meant for another.
 func WithUniqueStarts() Option {
-	return func(o *options) { o.core = append(o.core, admit.WithUniqueStarts()) }
+	return func(o *options) { o.coreOptions = append(o.coreOptions, admit.WithUniqueStarts()) }
 }
 
 // WithRandom sets the source of random numbers in [0, 1) that selects which requests are
 // admitted when an account is throttled. The default is rand.Float64.
-func WithRandom(draw func() float64) Option { return func(o *options) { o.draw = draw } }
+func WithRandom(draw func() float64) Option { return func(o *options) { o.random = draw } }
 
 // DefaultApplyWithin is used where settings do not say.
 const DefaultApplyWithin = 2 * time.Second
@@ -180,16 +180,16 @@
 func New(id Identity, source Source, n Transport, opts ...Option) *Dispatcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Dispatcher{
-		id: id, source: source, net: n, begun: time.Now(),
+		id: id, source: source, net: n, steadyStart: time.Now(),
 		opt: options{
-			log: slog.Default(), rule: allowance.DefaultRule(), applyWithin: DefaultApplyWithin, draw: rand.Float64, clock: clock.System(), wall: time.Now,
+			log: slog.Default(), retryRule: allowance.DefaultRule(), applyWithin: DefaultApplyWithin, random: rand.Float64, clock: clock.System(), wallClock: time.Now,
 		},
-		events: make(chan event, inboxSize), ctx: ctx, cancel: cancel, screen: newScreen(),
+		events: make(chan event, inboxSize), ctx: ctx, cancel: cancel, admission: newAdmission(),
 	}
 	for _, f := range opts {
 		f(&d.opt)
 	}
-	d.started = d.opt.clock.Now()
+	d.startTime = d.opt.clock.Now()
 	d.shared.applyWithin.Store(int64(d.opt.applyWithin))
 	return d
 }
@@ -198,19 +198,19 @@
 // be applied.
 func (d *Dispatcher) Reconfigure(r allowance.Rule, applyWithin time.Duration) {
 	d.shared.applyWithin.Store(int64(applyWithin))
-	d.post(setRule{r})
+	d.post(setRetryRuleEvent{r})
 }
 
-type setRule struct{ allowance.Rule }
+type setRetryRuleEvent struct{ allowance.Rule }
 
-func (e setRule) apply(s *state) {
-	s.rule = e.Rule
+func (e setRetryRuleEvent) apply(s *state) {
+	s.retryRule = e.Rule
 	s.allowance.SetRule(e.Rule)
 }
 
 // Start starts the tasks.
 func (d *Dispatcher) Start() {
-	tasks := []func(){d.run, d.watch, d.verify, d.measureLag}
+	tasks := []func(){d.run, d.watchPlatform, d.verifyPlatform, d.measureLag}
 	if l, ok := d.source.(InstanceLister); ok {
 		tasks = append(tasks, func() { d.watchInstances(l) })
 	}
@@ -237,7 +237,7 @@
 const clockStart = time.Hour
 
 // now is the dispatcher's clock, which only runs on, also while the machine is suspended.
-func (d *Dispatcher) now() time.Duration { return clockStart + d.opt.clock.Since(d.started) }
+func (d *Dispatcher) now() time.Duration { return clockStart + d.opt.clock.Since(d.startTime) }
 
 // event is what the task takes in one step.
 type event interface{ apply(s *state) }
@@ -245,14 +245,14 @@
 // run is the task that owns the state.
 func (d *Dispatcher) run() {
 	s := newState(d)
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	soon := time.NewTimer(busyTick)
+	soon := time.NewTimer(busyTickInterval)
 	defer soon.Stop()
 	armed := true
 	for {
 		if !armed && s.core.Busy() {
-			soon.Reset(busyTick)
+			soon.Reset(busyTickInterval)
 			armed = true
 		}
 		select {
@@ -260,15 +260,15 @@
 			return
 		case <-soon.C:
 			armed = false
-			s.apply(ticked{})
+			s.apply(tickEvent{})
 		case ev := <-d.events:
 			s.apply(ev)
 		case in := <-d.net.Inbox():
-			s.apply(inbound{in})
+			s.apply(messageEvent{in})
 		case l := <-d.net.Losses():
-			s.apply(lost{l})
+			s.apply(lossEvent{l})
 		case <-tick.C:
-			s.apply(ticked{})
+			s.apply(tickEvent{})
 		}
 	}
 }
@@ -292,12 +292,12 @@
 }
 
 // Table implements front.Scheduler.
-func (d *Dispatcher) Table() *table.Table { return d.shared.view.Load() }
+func (d *Dispatcher) Table() *table.Table { return d.shared.table.Load() }
 
 // Drain makes the router leave: others are told, and what waits is refused.
 func (d *Dispatcher) Drain() {
 	d.shared.draining.Store(true)
-	d.post(drained{})
+	d.post(drainEvent{})
 }
 
 // Draining reports whether Drain was called.
--- a/internal/dispatch/epoch.go
+++ b/internal/dispatch/epoch.go
@@ -15,7 +15,7 @@
 	}
 	s.d.opt.log.Warn("platform_epoch", "epoch", asOf.Epoch, "as_of", asOf.Number, "before_epoch", before.Epoch, "before_as_of", before.Number,
 		"from", from, "retained_table", kept != nil && kept.Table != nil, "retained_backends", servers, "retained_zones", zones)
-	if end := s.d.shared.endWatch.Load(); end != nil {
+	if end := s.d.shared.cancelWatch.Load(); end != nil {
 		(*end)()
 	}
 	s.tellKnown()
--- a/internal/dispatch/fleet_model_test.go
+++ b/internal/dispatch/fleet_model_test.go
@@ -69,7 +69,7 @@
 		d := New(id, noSource{}, r, WithSeeds([]string{address(0), address(1), address(2)}), WithApplyWithin(within), WithLogger(slog.New(slog.DiscardHandler)))
 		r.state = newState(d)
 		r.state.now = f.now
-		heard{News: news}.apply(r.state)
+		updateEvent{News: news}.apply(r.state)
 		f.routers[r.address] = r
 		f.order = append(f.order, r.address)
 	}
@@ -87,7 +87,7 @@
 		for _, address := range f.order {
 			r := f.routers[address]
 			r.now = f.now
-			if f.now%tickEvery == 0 {
+			if f.now%tickInterval == 0 {
 				r.tellOthers()
 			}
 		}
@@ -97,12 +97,12 @@
 func (f *fleetModel) deliver(m modelMessage) {
 	from, to := f.routers[m.from], f.routers[m.to]
 	to.now = f.now
-	inbound{peer.Inbound{From: m.from, Name: from.d.id.Name, Zone: from.d.id.Zone, Inc: from.d.id.Incarnation, Msg: m.msg}}.apply(to.state)
+	messageEvent{peer.Inbound{From: m.from, Name: from.d.id.Name, Zone: from.d.id.Zone, Inc: from.d.id.Incarnation, Msg: m.msg}}.apply(to.state)
 }
 
 // reader returns the router whose turn it is to read the platform.
 func (f *fleetModel) reader() *modelRouter {
-	i := slices.IndexFunc(f.order, func(address string) bool { return f.routers[address].d.shared.turn.Load() == 0 })
+	i := slices.IndexFunc(f.order, func(address string) bool { return f.routers[address].d.shared.readerRank.Load() == 0 })
 	return f.routers[f.order[i]]
 }
 
@@ -121,16 +121,16 @@
 				r := f.reader()
 				if r.d.verifyDue(f.now) <= 0 {
 					read++
-					r.d.verifiedAt(f.now)
+					r.d.recordVerified(f.now)
 					r.now = f.now
-					verifiedHere{}.apply(r.state)
+					verifiedEvent{}.apply(r.state)
 				}
-				if f.now < clockStart+7*time.Second || f.now%tickEvery != 0 {
+				if f.now < clockStart+7*time.Second || f.now%tickInterval != 0 {
 					return
 				}
 				for _, address := range f.order {
 					x := f.routers[address]
-					worst = max(worst, f.now-time.Duration(x.d.shared.verified.Load()))
+					worst = max(worst, f.now-time.Duration(x.d.shared.lastVerified.Load()))
 					if x != r && x.d.verifyDue(f.now) <= 0 {
 						late++
 					}
--- a/internal/dispatch/flood_test.go
+++ b/internal/dispatch/flood_test.go
@@ -110,9 +110,9 @@
 }
 
 func newFloodedRouter(key wire.Key, share float64) *floodedRouter {
-	d := &Dispatcher{opt: options{clock: clock.System(), log: slog.New(slog.DiscardHandler), draw: rand.Float64}}
-	d.screen = newScreen()
-	store(&d.screen.parts, map[wire.Key]float64{key: share})
+	d := &Dispatcher{opt: options{clock: clock.System(), log: slog.New(slog.DiscardHandler), random: rand.Float64}}
+	d.admission = newAdmission()
+	store(&d.admission.parts, map[wire.Key]float64{key: share})
 	return &floodedRouter{loadedRouter: newLoadedRouter(&state{d: d, core: admit.New(admit.Router{Address: "r"}), pace: admit.NewPace(smallCores)})}
 }
 
@@ -184,7 +184,7 @@
 		if now < lasts {
 			come = perSecond * int(floodStep) / int(time.Second)
 		} else {
-			store(&first.s.d.screen.parts, nil)
+			store(&first.s.d.admission.parts, nil)
 		}
 		asked += come
 		for n := range come + returning[now/floodStep] {
--- a/internal/dispatch/follow_test.go
+++ b/internal/dispatch/follow_test.go
@@ -18,9 +18,9 @@
 	}{
 		"without seeds":                  {nil, 0, 0},
 		"a seed":                         {[]string{other, self}, 0, 0},
-		"no seed":                        {[]string{other}, 0, readAfter},
-		"no seed, told by another":       {[]string{other}, 9, time.Duration(firstPart * float64(within))},
-		"a seed that was told by others": {[]string{self, other}, 9, time.Duration(firstPart * float64(within))},
+		"no seed":                        {[]string{other}, 0, nonSeedReadDelay},
+		"no seed, told by another":       {[]string{other}, 9, time.Duration(firstVerifyFraction * float64(within))},
+		"a seed that was told by others": {[]string{self, other}, 9, time.Duration(firstVerifyFraction * float64(within))},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -40,8 +40,8 @@
 		d := New(Identity{}, noSource{}, &sentNet{})
 		sum := 0.0
 		for turn := range routers {
-			d.shared.turn.Store(int64(turn))
-			sum += 1 / d.pauseAfterFailure(time.Second).Seconds()
+			d.shared.readerRank.Store(int64(turn))
+			sum += 1 / d.retryDelay(time.Second).Seconds()
 		}
 		return sum
 	}
--- a/internal/dispatch/freeze.go
+++ b/internal/dispatch/freeze.go
@@ -4,16 +4,16 @@
 // meant for tests and measurements.
 func (d *Dispatcher) PauseLoop() (thaw func()) {
 	begun, end := make(chan struct{}), make(chan struct{})
-	if !d.post(frozen{begun, end}) {
+	if !d.post(pauseEvent{begun, end}) {
 		return func() {}
 	}
 	<-begun
 	return func() { close(end) }
 }
 
-type frozen struct{ begun, end chan struct{} }
+type pauseEvent struct{ begun, end chan struct{} }
 
-func (e frozen) apply(s *state) {
+func (e pauseEvent) apply(s *state) {
 	close(e.begun)
 	select {
 	case <-e.end:
--- a/internal/dispatch/instances.go
+++ b/internal/dispatch/instances.go
@@ -26,21 +26,21 @@
 		list, ok, err := l.Instances(d.ctx, after)
 		switch {
 		case err != nil:
-			d.readFailed("instances", err)
-			d.pause(wait.NextBackOff())
+			d.recordReadFailure("instances", err)
+			d.sleep(wait.NextBackOff())
 			continue
 		case ok && list.Revision > after:
 			wait.Reset()
 			after = list.Revision
-			d.post(listed{list})
+			d.post(instancesEvent{list})
 		}
-		d.pause(listPause + rand.N(listPause))
+		d.sleep(listPause + rand.N(listPause))
 	}
 }
 
-type listed struct{ platform.Instances }
+type instancesEvent struct{ platform.Instances }
 
-func (e listed) apply(s *state) {
+func (e instancesEvent) apply(s *state) {
 	var addresses []string
 	for _, i := range e.Instances.Instances {
 		if i.State == platform.Live {
@@ -48,5 +48,5 @@
 		}
 	}
 	s.roster.SetSeeds(addresses)
-	s.keys.setList(s.now, s.d.id.Zone, e.Instances.Instances)
+	s.keys.setRouters(s.now, s.d.id.Zone, e.Instances.Instances)
 }
--- a/internal/dispatch/lag.go
+++ b/internal/dispatch/lag.go
@@ -31,7 +31,7 @@
 			return
 		}
 		sent := time.Duration(binary.LittleEndian.Uint64(buf[:]))
-		d.post(lagged{time.Since(d.begun) - sent})
+		d.post(lagEvent{time.Since(d.steadyStart) - sent})
 	}
 }
 
@@ -46,7 +46,7 @@
 		case <-d.ctx.Done():
 			return
 		case due := <-tick.C:
-			at := due.Sub(d.begun)
+			at := due.Sub(d.steadyStart)
 			binary.LittleEndian.PutUint64(buf[:], uint64(at))
 			if _, err := w.Write(buf[:]); err != nil {
 				return
@@ -55,7 +55,7 @@
 	}
 }
 
-// lagged says how late this process heard of something.
-type lagged struct{ by time.Duration }
+// lagEvent says how late this process heard of something.
+type lagEvent struct{ by time.Duration }
 
-func (e lagged) apply(s *state) { s.keepPace(e.by) }
+func (e lagEvent) apply(s *state) { s.keepPace(e.by) }
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -21,11 +21,11 @@
 )
 
 // WithLoadReader makes the router poll the load of the backend servers that it owns.
-func WithLoadReader(l LoadReader) Option { return func(o *options) { o.loads = l } }
+func WithLoadReader(l LoadReader) Option { return func(o *options) { o.loadReader = l } }
 
 // followLoads starts and ends the readers, one for each backend server that is owned.
 func (s *state) followLoads() {
-	if s.d.opt.loads == nil || s.now-s.ownedAt < ownedEvery {
+	if s.d.opt.loadReader == nil || s.now-s.ownedAt < ownedEvery {
 		return
 	}
 	s.ownedAt = s.now
@@ -51,11 +51,11 @@
 	go func() {
 		defer d.tasks.Done()
 		for ctx.Err() == nil {
-			n, err := d.opt.loads.Load(ctx, b)
+			n, err := d.opt.loadReader.Load(ctx, b)
 			if err != nil {
 				d.opt.log.Debug("load_unreadable", "backend", b.Name, "error", err)
 			} else {
-				d.post(loadRead{b.Name, n})
+				d.post(loadEvent{b.Name, n})
 			}
 			select {
 			case <-time.After(loadEvery):
@@ -66,9 +66,9 @@
 	return end
 }
 
-type loadRead struct {
+type loadEvent struct {
 	backend  string
 	inFlight int
 }
 
-func (e loadRead) apply(s *state) { s.step(admit.Load{Backend: e.backend, InFlight: e.inFlight}) }
+func (e loadEvent) apply(s *state) { s.step(admit.Load{Backend: e.backend, InFlight: e.inFlight}) }
--- a/internal/dispatch/members.go
+++ b/internal/dispatch/members.go
@@ -21,7 +21,7 @@
 // heardOfMembers takes in that another router lives or does not, or what another one
 // believes of that, at once or with what else is heard in a moment.
 func (s *state) heardOfMembers() {
-	s.membersDue = s.now-s.membersAt < membersEach*time.Duration(s.d.shared.routers.Load())
+	s.membersDue = s.now-s.membersAt < membersEach*time.Duration(s.d.shared.routerCount.Load())
 	if !s.membersDue {
 		s.membersChanged()
 	}
@@ -49,7 +49,7 @@
 	for _, n := range known {
 		all += n
 	}
-	s.d.shared.routers.Store(int64(all))
+	s.d.shared.routerCount.Store(int64(all))
 	s.d.opt.log.Info("members", "live", len(routers)+1, "relay", s.talk.Relay, "mesh", s.talk.Mesh, "leaving", leaving)
 	s.step(admit.Routers{List: routers, Leaving: leaving, Known: known})
 	s.tellForwarder()
@@ -82,7 +82,7 @@
 	staying := s.roster.Staying(s.now)
 	turn := 0
 	if s.d.Draining() {
-		turn = len(staying) + watchers
+		turn = len(staying) + watcherCount
 	}
 	own := rendezvous.Weight(readerKey, s.d.id.Address)
 	for _, address := range staying {
@@ -90,7 +90,7 @@
 			turn++
 		}
 	}
-	if old := s.d.shared.turn.Swap(int64(turn)); old != int64(turn) {
+	if old := s.d.shared.readerRank.Swap(int64(turn)); old != int64(turn) {
 		s.d.opt.log.Debug("reader_turn", "turn", turn, "before", old)
 	}
 }
--- a/internal/dispatch/news_test.go
+++ b/internal/dispatch/news_test.go
@@ -19,11 +19,11 @@
 	s.now = time.Hour
 	publish := func(asOf uint64, news catalog.News) {
 		news.AsOf = asOf
-		heard{News: news}.apply(s)
+		updateEvent{News: news}.apply(s)
 	}
 	ask := func(after uint64) *wire.News {
 		n.sent = nil
-		inbound{peer.Inbound{From: "10.0.1.2:7", Name: "b", Zone: "x", Inc: 1, Msg: &wire.NewsAsk{After: after}}}.apply(s)
+		messageEvent{peer.Inbound{From: "10.0.1.2:7", Name: "b", Zone: "x", Inc: 1, Msg: &wire.NewsAsk{After: after}}}.apply(s)
 		for _, msg := range n.sent {
 			if m, ok := msg.(*wire.News); ok {
 				return m
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -24,12 +24,12 @@
 // notePace tells the callers' tasks, and operators, how well this router keeps up.
 func (s *state) notePace() {
 	p := &LoadStats{AdmitRatio: s.pace.Part(), Lag: s.pace.Late(), Rate: s.pace.Rate()}
-	s.d.shared.pace.Store(p)
+	s.d.shared.loadStats.Store(p)
 	if p.AdmitRatio < 1 {
 		s.limitedAt = s.now
 	}
 	limited := s.limitedAt > 0 && s.now-s.limitedAt < limitedFor
-	if s.d.shared.hurried.Swap(limited) != limited {
+	if s.d.shared.saturated.Swap(limited) != limited {
 		s.d.opt.log.Warn("router_pace", "limited", limited, "late_ms", p.Lag.Milliseconds(), "can_per_s", int(p.Rate))
 	}
 }
@@ -44,7 +44,7 @@
 const refusingFrom = 20
 
 // Refusing implements front.Scheduler.
-func (d *Dispatcher) Refusing() bool { return d.Saturated() || d.shared.refusing.Load() }
+func (d *Dispatcher) Refusing() bool { return d.Saturated() || d.shared.shedding.Load() }
 
 // seeWhetherOverloaded tells balancers to send new connections elsewhere while
 // this router can work on a small part of its requests only.
@@ -64,7 +64,7 @@
 }
 
 // Saturated reports whether this router recently lacked processor time for some of its requests.
-func (d *Dispatcher) Saturated() bool { return d.shared.hurried.Load() }
+func (d *Dispatcher) Saturated() bool { return d.shared.saturated.Load() }
 
 // LoadStats describes how well a router keeps up with its requests.
 type LoadStats struct {
@@ -82,9 +82,9 @@
 // LoadStats returns the current load statistics.
 func (d *Dispatcher) LoadStats() LoadStats {
 	p := LoadStats{AdmitRatio: 1}
-	if last := d.shared.pace.Load(); last != nil {
+	if last := d.shared.loadStats.Load(); last != nil {
 		p = *last
 	}
-	p.RefusedEarly = d.screen.count.Load()
+	p.RefusedEarly = d.admission.count.Load()
 	return p
 }
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -37,10 +37,10 @@
 	askedWhole time.Duration
 }
 
-// inbound is a message of another router.
-type inbound struct{ peer.Inbound }
+// messageEvent is a message of another router.
+type messageEvent struct{ peer.Inbound }
 
-func (e inbound) apply(s *state) {
+func (e messageEvent) apply(s *state) {
 	member := roster.Member{Address: e.From, Name: e.Name, Zone: e.Zone, Inc: e.Inc}
 	if s.roster.Heard(s.now, member) {
 		s.d.opt.log.Info("member_heard", "peer", e.Name, "address", e.From, "zone", e.Zone, "incarnation", e.Inc)
@@ -64,14 +64,14 @@
 	case *wire.Uses:
 		s.hearUses(e.Inbound, m)
 	case *wire.Claim, *wire.ClaimVoid, *wire.ClaimAnswer:
-		s.receiveClaim(e.From, m)
+		s.handleClaimMessage(e.From, m)
 	case *wire.Roster:
 		s.learnRoster(e.From, m)
 	case *wire.NewsAsk:
 		s.d.net.Send(e.From, s.newsFor(m))
 	case *wire.News:
 		indexTables(&m.News)
-		heard{News: m.Checked(), from: e.Name, sender: e.From}.apply(s)
+		updateEvent{News: m.Checked(), senderName: e.Name, senderAddress: e.From}.apply(s)
 	}
 }
 
@@ -205,10 +205,10 @@
 	}
 }
 
-// lost is a router to which messages could not be delivered.
-type lost struct{ peer.Lost }
+// lossEvent is a router to which messages could not be delivered.
+type lossEvent struct{ peer.Lost }
 
-func (e lost) apply(s *state) {
+func (e lossEvent) apply(s *state) {
 	s.link(e.Peer).digest = 0
 	if f := s.d.opt.forwarder; f != nil {
 		f.Lost(e.Peer)
@@ -256,7 +256,7 @@
 func (s *state) tell(to string, t *admit.Telling, scope wire.Scope, copies []wire.Copy) {
 	m := s.stateFor(to)
 	m.Scope, m.Copies = scope, copies
-	if !s.d.opt.weights {
+	if !s.d.opt.weighted {
 		m.Accounts = t.For(scope, to)
 	}
 	if s.talk.Relay {
--- a/internal/dispatch/rosters_test.go
+++ b/internal/dispatch/rosters_test.go
@@ -79,7 +79,7 @@
 	if change == nil || change.Base != whole.Digest || len(change.Entries) != 1 || change.Entries[0].Inc != 2 {
 		t.Errorf("after a change it is told %+v", change)
 	}
-	lost{peer.Lost{Peer: to}}.apply(s)
+	lossEvent{peer.Lost{Peer: to}}.apply(s)
 	if m := tell(); m == nil || m.Base != 0 || len(m.Entries) != routers+1 {
 		t.Errorf("after a loss it is told %+v", m)
 	}
--- a/internal/dispatch/screen.go
+++ b/internal/dispatch/screen.go
@@ -23,10 +23,10 @@
 var errOverloaded = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, front.CodeOverloaded,
 	"this entry instance has no time for the request; come back as told")
 
-// screen refuses requests of accounts that ask for much more than they can
+// admission refuses requests of accounts that ask for much more than they can
 // get, in the callers' own tasks: a flood must not cost the decisions of
 // others their time.
-type screen struct {
+type admission struct {
 	// parts is which part of an account's requests is tried.
 	parts atomic.Pointer[map[wire.Key]float64]
 	mu    sync.Mutex
@@ -57,8 +57,8 @@
 	left float64
 }
 
-func newScreen() screen {
-	return screen{plan: admit.Plan{Each: math.Inf(1)}, left: math.MaxInt, tallies: map[wire.Key]*tally{}}
+func newAdmission() admission {
+	return admission{plan: admit.Plan{Each: math.Inf(1)}, left: math.MaxInt, tallies: map[wire.Key]*tally{}}
 }
 
 // Screen implements front.Scheduler.
@@ -67,8 +67,8 @@
 		return nil
 	}
 	key := wire.KeyOf(r.Account)
-	within := r.Forwarded || d.opt.draw() < partOf(&d.screen.parts, key)
-	if d.screen.letIn(key, r, within) {
+	within := r.Forwarded || d.opt.random() < partOf(&d.admission.parts, key)
+	if d.admission.letIn(key, r, within) {
 		return nil
 	}
 	// Balancers send a caller to the same router again: one that comes back soon is
@@ -96,7 +96,7 @@
 // it is worked on. What is beyond the share takes nothing of what this router has time
 // for, so that the lesser of both counts and not their product: else an account whose
 // callers come to few small routers gets a fraction of its share.
-func (sc *screen) letIn(key wire.Key, r front.Request, within bool) bool {
+func (sc *admission) letIn(key wire.Key, r front.Request, within bool) bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	t, ok := sc.tallies[key]
@@ -121,7 +121,7 @@
 // MayForward implements front.Scheduler. A request that is handed on is counted as asked
 // for by the router that takes it.
 func (d *Dispatcher) MayForward(r front.Request) bool {
-	sc := &d.screen
+	sc := &d.admission
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	t, ok := sc.tallies[wire.KeyOf(r.Account)]
@@ -151,14 +151,14 @@
 			s.core.Screened(s.now, key, t.tokens)
 		}
 	}
-	store(&s.d.screen.parts, s.core.Screen(s.now))
+	store(&s.d.admission.parts, s.core.Screen(s.now))
 	s.logShares()
 }
 
 // planWork makes a plan of what this router has time for until the next one, and returns
 // what was counted since the last.
 func (s *state) planWork() map[wire.Key]*tally {
-	sc := &s.d.screen
+	sc := &s.d.admission
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	counted, in := sc.tallies, s.now-sc.planned
@@ -176,7 +176,7 @@
 			sc.tallies[key] = &tally{left: min(t.left, 1) + sc.plan.Each*min(in, longestPlan).Seconds()}
 		}
 	}
-	s.d.shared.refusing.Store(float64(refused) >= refusingFrom*in.Seconds())
+	s.d.shared.shedding.Store(float64(refused) >= refusingFrom*in.Seconds())
 	s.notePace()
 	return counted
 }
--- a/internal/dispatch/screen_test.go
+++ b/internal/dispatch/screen_test.go
@@ -31,10 +31,10 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			d := &Dispatcher{opt: options{clock: clock.System(), draw: rand.New(rand.NewPCG(1, 1)).Float64}, screen: newScreen()}
+			d := &Dispatcher{opt: options{clock: clock.System(), random: rand.New(rand.NewPCG(1, 1)).Float64}, admission: newAdmission()}
 			key := wire.KeyOf("moka")
-			store(&d.screen.parts, map[wire.Key]float64{key: tc.share})
-			d.screen.tallies[key] = &tally{left: tc.inTime * asks}
+			store(&d.admission.parts, map[wire.Key]float64{key: tc.share})
+			d.admission.tallies[key] = &tally{left: tc.inTime * asks}
 			in, codes := 0, map[string]int{}
 			for range asks {
 				err := d.Screen(front.Request{Account: "moka", Prompt: 10})
@@ -66,8 +66,8 @@
 // router has time for: the rate of a moment is let in, and the rest refused.
 func TestScreenBoundsABurst(t *testing.T) {
 	const most = 40
-	d := &Dispatcher{opt: options{clock: clock.System(), draw: rand.Float64}, screen: newScreen()}
-	d.screen.left = most
+	d := &Dispatcher{opt: options{clock: clock.System(), random: rand.Float64}, admission: newAdmission()}
+	d.admission.left = most
 	in := 0
 	for range 1000 {
 		if d.Screen(front.Request{Account: "moka", Prompt: 10}) == nil {
@@ -83,10 +83,10 @@
 // request that is handed on is counted by the router that takes it, not here.
 func TestMayForward(t *testing.T) {
 	const asks, let, forwards = 100, 10, 30
-	d := &Dispatcher{opt: options{clock: clock.System(), draw: rand.Float64}, screen: newScreen()}
+	d := &Dispatcher{opt: options{clock: clock.System(), random: rand.Float64}, admission: newAdmission()}
 	key := wire.KeyOf("moka")
-	d.screen.tallies[key] = &tally{left: let}
-	d.screen.forwards = forwards
+	d.admission.tallies[key] = &tally{left: let}
+	d.admission.forwards = forwards
 	handed := 0
 	for range asks {
 		r := front.Request{Account: "moka", Prompt: 10}
@@ -94,12 +94,12 @@
 			handed++
 		}
 	}
-	got := d.screen.tallies[key]
+	got := d.admission.tallies[key]
 	if handed != forwards || got.forwarded != forwards || got.refused != asks-let-forwards || got.tokens != 10*(asks-let-forwards) {
 		t.Errorf("%d handed on, counted %+v", handed, *got)
 	}
-	if d.screen.count.Load() != asks-let-forwards {
-		t.Errorf("%d counted as refused", d.screen.count.Load())
+	if d.admission.count.Load() != asks-let-forwards {
+		t.Errorf("%d counted as refused", d.admission.count.Load())
 	}
 	if d.MayForward(front.Request{Account: "nobody"}) {
 		t.Error("a request that was not screened is handed on")
--- a/internal/dispatch/session_test.go
+++ b/internal/dispatch/session_test.go
@@ -77,7 +77,7 @@
 		w.publish()
 	case "drain":
 		w.routers[s.On].d.Drain()
-		w.routers[s.On].step(drained{})
+		w.routers[s.On].step(drainEvent{})
 	default:
 		panic("unknown step " + s.Do)
 	}
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -23,7 +23,7 @@
 	catalog   *catalog.Catalog
 	roster    *roster.Roster
 	allowance *allowance.Allowance
-	rule      allowance.Rule
+	retryRule allowance.Rule
 	links     map[string]*link
 	pace      *admit.Pace
 	nextID    uint64
@@ -42,7 +42,7 @@
 	changes uint64
 	changed map[string]rosterChange
 	// keys is this router's part in the use of idempotency keys.
-	keys *keys
+	keys *idempotencyKeys
 	// served counts the tokens of requests that run, by their ids, where accounts are served
 	// by their weights.
 	served map[uint64]*atomic.Int64
@@ -93,12 +93,12 @@
 	now := d.now()
 	s := &state{
 		d: d, now: now, lastRun: now, suspended: d.opt.clock.Suspended(),
-		core:      admit.New(admit.Router{Address: d.id.Address, Zone: d.id.Zone, Capacity: d.id.Capacity}, append(d.opt.core, admit.WithSeed(d.id.Incarnation))...),
+		core:      admit.New(admit.Router{Address: d.id.Address, Zone: d.id.Zone, Capacity: d.id.Capacity}, append(d.opt.coreOptions, admit.WithSeed(d.id.Incarnation))...),
 		roster:    roster.New(self, d.opt.seeds),
-		allowance: allowance.New(d.opt.rule, now),
-		rule:      d.opt.rule,
+		allowance: allowance.New(d.opt.retryRule, now),
+		retryRule: d.opt.retryRule,
 		links:     map[string]*link{},
-		keys:      newKeys(d.id.Address, now, d.opt.wall()),
+		keys:      newIdempotencyKeys(d.id.Address, now, d.opt.wallClock()),
 		served:    map[uint64]*atomic.Int64{},
 		loads:     map[string]context.CancelFunc{},
 		cleared:   map[suspect.Why]int64{},
@@ -136,8 +136,8 @@
 // stoodStill takes in that this router did nothing since a moment.
 func (s *state) stoodStill(from time.Duration) {
 	s.roster.Paused(from, s.now)
-	if s.now-from >= vouchesUpTo {
-		s.keys.homes.Woke(s.now + s.keys.wall)
+	if s.now-from >= maxVouchPause {
+		s.keys.homes.Woke(s.now + s.keys.wallOffset)
 	}
 }
 
@@ -146,7 +146,7 @@
 	for _, a := range s.core.Step(s.now, ev) {
 		switch a := a.(type) {
 		case admit.Start:
-			s.reply(a.ID, decision{start: a, waited: a.Waited, served: s.countFor(a.ID)})
+			s.reply(a.ID, decision{start: a, waited: a.Waited, tokens: s.countFor(a.ID)})
 		case admit.Refuse:
 			s.logHeldBack(a)
 			s.reply(a.ID, decision{err: a.Err, waited: a.Waited})
@@ -162,16 +162,16 @@
 	}
 }
 
-type ticked struct{}
+type tickEvent struct{}
 
-func (ticked) apply(s *state) {
-	s.catalog.Verified(time.Duration(s.d.shared.verified.Load()))
+func (tickEvent) apply(s *state) {
+	s.catalog.Verified(time.Duration(s.d.shared.lastVerified.Load()))
 	if s.catalog.Refresh(s.now) {
-		s.inForce("")
+		s.applyTable("")
 	}
 	s.noteProgress()
 	s.step(admit.Tick{})
-	s.tickKeys()
+	s.expireClaims()
 	s.followLoads()
 	if s.membersDue {
 		s.heardOfMembers()
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -75,8 +75,8 @@
 	s.status = s.now
 	s.logTrust()
 	st := &Status{
-		Name: s.d.id.Name, Zone: s.d.id.Zone, Incarnation: s.d.id.Incarnation, Epoch: s.catalog.AsOf().Epoch, AsOf: s.catalog.AsOf().Number, ReaderRank: s.d.shared.turn.Load(),
-		VerifiedMillisAgo: (s.now - time.Duration(s.d.shared.verified.Load())).Milliseconds(),
+		Name: s.d.id.Name, Zone: s.d.id.Zone, Incarnation: s.d.id.Incarnation, Epoch: s.catalog.AsOf().Epoch, AsOf: s.catalog.AsOf().Number, ReaderRank: s.d.shared.readerRank.Load(),
+		VerifiedMillisAgo: (s.now - time.Duration(s.d.shared.lastVerified.Load())).Milliseconds(),
 		Live:              s.roster.Live(s.now), Relay: s.talk.Relay, Owned: s.core.Owned(), Waiting: s.core.Waiting(),
 		ClosedZones: s.closed, Warming: s.core.Warming(), SuspendedMillis: s.suspended.Milliseconds(),
 	}
--- a/internal/dispatch/unusable.go
+++ b/internal/dispatch/unusable.go
@@ -52,13 +52,13 @@
 // noteLack keeps why a router that has no table yet has none.
 func (s *state) noteLack(n *catalog.News) {
 	if s.catalog.View() != nil {
-		s.d.shared.lack.Store(nil)
+		s.d.shared.noTableReason.Store(nil)
 		return
 	}
 	for _, x := range n.Skipped {
 		if x.Key != "" {
 			err := fmt.Errorf("dispatch: %s at revision %d cannot be used (%s %s); publish a good one", x.Key, x.Revision, x.Unusable.Reason, x.Unusable.Field)
-			s.d.shared.lack.Store(&err)
+			s.d.shared.noTableReason.Store(&err)
 		}
 	}
 }
--- a/internal/dispatch/unusable_test.go
+++ b/internal/dispatch/unusable_test.go
@@ -21,11 +21,11 @@
 	d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Incarnation: 1}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.NewTextHandler(&log, nil))))
 	s := newState(d)
 	good := catalog.Server{Revision: 2, Backend: table.Backend{Name: "good", Zone: "a", Address: "10.0.0.9:80", Models: []string{"reader"}, Slots: 8, Mark: table.Serving}}
-	heard{News: catalog.News{AsOf: 2, Table: &table.Table{Revision: 1}, Servers: []catalog.Server{good}}}.apply(s)
+	updateEvent{News: catalog.News{AsOf: 2, Table: &table.Table{Revision: 1}, Servers: []catalog.Server{good}}}.apply(s)
 	for i := range perSecond * seconds {
 		s.now += time.Second / perSecond
 		bad := catalog.Server{Revision: uint64(3 + i), Unusable: catalog.Unusable{Reason: catalog.WrongType, Field: "slots"}, Backend: table.Backend{Name: "bad"}}
-		heard{News: catalog.News{After: uint64(2 + i), AsOf: uint64(3 + i), Servers: []catalog.Server{bad}}}.apply(s)
+		updateEvent{News: catalog.News{After: uint64(2 + i), AsOf: uint64(3 + i), Servers: []catalog.Server{bad}}}.apply(s)
 	}
 	lines := strings.Count(log.String(), "msg=entry_unusable")
 	if lines < seconds || lines > unusableLines*(seconds+1) {
@@ -73,12 +73,12 @@
 	d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Incarnation: 1}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.DiscardHandler)))
 	s := newState(d)
 	skipped := catalog.Skipped{Key: "config", Revision: 4, Unusable: catalog.Unusable{Reason: catalog.Unreadable, Field: "unexpected end"}}
-	heard{News: catalog.News{AsOf: 4, Skipped: []catalog.Skipped{skipped}}}.apply(s)
+	updateEvent{News: catalog.News{AsOf: 4, Skipped: []catalog.Skipped{skipped}}}.apply(s)
 	err := d.Ready(t.Context())
 	if err == nil || !strings.Contains(fmt.Sprint(err), "config at revision 4 cannot be used") {
 		t.Errorf("not ready because of %v", err)
 	}
-	heard{News: catalog.News{After: 4, AsOf: 5, Table: &table.Table{Revision: 5}}}.apply(s)
+	updateEvent{News: catalog.News{After: 4, AsOf: 5, Table: &table.Table{Revision: 5}}}.apply(s)
 	if err := d.Ready(t.Context()); err != nil {
 		t.Error(err)
 	}
--- a/internal/dispatch/uses.go
+++ b/internal/dispatch/uses.go
@@ -12,14 +12,14 @@
 // requests wait until their deadlines.
 func WithWeights() Option {
 	return func(o *options) {
-		o.weights = true
-		o.core = append(o.core, admit.WithWeights())
+		o.weighted = true
+		o.coreOptions = append(o.coreOptions, admit.WithWeights())
 	}
 }
 
 // tellUses tells a router what accounts have used, for a scope.
 func (s *state) tellUses(to string, t *admit.Telling, scope wire.Scope) {
-	if s.d.opt.weights && scope != wire.ScopeNone {
+	if s.d.opt.weighted && scope != wire.ScopeNone {
 		s.d.net.Send(to, &wire.Uses{Scope: scope, Accounts: t.Uses(scope, to)})
 	}
 }
@@ -41,7 +41,7 @@
 // countFor returns what counts the tokens of a request that starts.
 func (s *state) countFor(id uint64) *atomic.Int64 {
 	served := &atomic.Int64{}
-	if s.d.opt.weights {
+	if s.d.opt.weighted {
 		s.served[id] = served
 	}
 	return served
--- a/internal/dispatch/verified.go
+++ b/internal/dispatch/verified.go
@@ -15,18 +15,18 @@
 // hearVerified takes in that what is known here was known to be the newest at another
 // router, so long ago. A relay passes that on at once to those of other zones.
 func (s *state) hearVerified(from peer.Inbound, m *wire.State) {
-	before := time.Duration(s.d.shared.verified.Load())
+	before := time.Duration(s.d.shared.lastVerified.Load())
 	at := m.Echo.At() + time.Duration(m.Held-m.Age)*time.Millisecond
-	s.d.verifiedAt(at)
+	s.d.recordVerified(at)
 	if at-before >= freshBy && s.talk.Relay && from.Zone == s.d.id.Zone && !slices.Contains(s.talk.Members, from.From) {
 		s.tellVerified(s.talk.Others)
 	}
 }
 
-// verifiedHere says that this router has made sure that it knows the newest.
-type verifiedHere struct{}
+// verifiedEvent says that this router has made sure that it knows the newest.
+type verifiedEvent struct{}
 
-func (verifiedHere) apply(s *state) {
+func (verifiedEvent) apply(s *state) {
 	if s.talk.Mesh {
 		return
 	}
@@ -61,7 +61,7 @@
 	if l.stamp > 0 {
 		m.Echo, m.Held = l.stamp, (s.now - l.stampAt).Milliseconds()
 	}
-	if verified := time.Duration(s.d.shared.verified.Load()); verified > 0 {
+	if verified := time.Duration(s.d.shared.lastVerified.Load()); verified > 0 {
 		m.Age = (s.now - verified).Milliseconds() + 1
 	}
 	return m
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -180,9 +180,9 @@
 	r.startedAt, r.lastAt = w.now, w.now
 	d := New(Identity{Name: name, Address: name, Zone: r.zone, Incarnation: r.inc}, noSource{}, r,
 		WithLogger(slog.New(slog.DiscardHandler)), WithWeights())
-	d.opt.wall = func() time.Time { return time.Unix(0, int64(w.now)) }
+	d.opt.wallClock = func() time.Time { return time.Unix(0, int64(w.now)) }
 	r.state = newState(d)
-	r.step(listed{platform.Instances{Revision: 1, Instances: w.list()}})
+	r.step(instancesEvent{platform.Instances{Revision: 1, Instances: w.list()}})
 }
 
 func (w *world) stop(name string) {
@@ -301,7 +301,7 @@
 				continue
 			}
 			w.readPlatform(r)
-			r.step(ticked{})
+			r.step(tickEvent{})
 		}
 		w.feedLoads()
 		w.deliver()
@@ -341,18 +341,18 @@
 	}
 	now := clockStart + w.now - r.startedAt
 	asOf := r.d.asOf().Number
-	watches := asOf > 0 && r.d.shared.turn.Load() < watchers && now-clockStart >= watchAfter
+	watches := asOf > 0 && r.d.shared.readerRank.Load() < watcherCount && now-clockStart >= watchDelay
 	due := r.d.verifyDue(now) <= 0
 	switch {
 	case due && w.shown < asOf:
 		// It answers with an older revision than what is known, which is an error.
 	case due && asOf > 0 && w.shown == asOf:
-		r.d.verifiedAt(now)
-		r.step(verifiedHere{})
+		r.d.recordVerified(now)
+		r.step(verifiedEvent{})
 	case due:
-		r.step(heard{News: catalog.News{AsOf: w.shown, Table: w.tableAt(w.shown)}, at: now})
+		r.step(updateEvent{News: catalog.News{AsOf: w.shown, Table: w.tableAt(w.shown)}, at: now})
 	case watches && w.shown > asOf:
-		r.step(heard{News: catalog.News{After: asOf, AsOf: w.shown, Table: w.tableAt(w.shown)}})
+		r.step(updateEvent{News: catalog.News{After: asOf, AsOf: w.shown, Table: w.tableAt(w.shown)}})
 	}
 }
 
@@ -397,7 +397,7 @@
 	if !to.up || !w.joined(from, to) {
 		w.breakLink(d)
 		if sameStart {
-			from.step(lost{peer.Lost{Peer: d.to, Refused: !to.up}})
+			from.step(lossEvent{peer.Lost{Peer: d.to, Refused: !to.up}})
 		}
 		return
 	}
@@ -411,7 +411,7 @@
 		return
 	}
 	for _, m := range msgs {
-		to.step(inbound{peer.Inbound{From: d.from, Name: d.from, Zone: d.zone, Inc: d.inc, Msg: m}})
+		to.step(messageEvent{peer.Inbound{From: d.from, Name: d.from, Zone: d.zone, Inc: d.inc, Msg: m}})
 	}
 }
 
@@ -445,7 +445,7 @@
 		}
 		for _, b := range r.core.OwnedBackends() {
 			if !w.cut[n] && (b.Zone == r.zone || !w.cut[r.zone] && !w.cut[b.Zone]) {
-				r.step(loadRead{b.Name, w.servers[b.Name].inFlight})
+				r.step(loadEvent{b.Name, w.servers[b.Name].inFlight})
 			}
 		}
 	}
@@ -472,15 +472,15 @@
 		w.used[key] = w.now.Milliseconds()
 	}
 	msg := &wire.Claim{Key: account + "\x00" + key, Request: id, At: w.used[key]}
-	r.step(claimKey{&claiming{msg: msg, answer: a.claim}})
+	r.step(claimEvent{&pendingClaim{msg: msg, answer: a.claim}})
 }
 
 func (w *world) queueAsk(r *simRouter, a *simAsk) {
 	at := time.Unix(0, int64(w.now))
 	req := a.req
 	req.Deadline = at.Add(a.until - w.now)
-	a.attempt = &attempt{request: req, at: at, answer: make(chan decision, 1)}
-	r.step(arrive{a.attempt})
+	a.attempt = &attempt{request: req, arrivedAt: at, result: make(chan decision, 1)}
+	r.step(arriveEvent{a.attempt})
 }
 
 // collect takes the routers' answers to requests and lets the backend servers
@@ -495,7 +495,7 @@
 		w.collectClaim(r, a)
 		if a.attempt != nil {
 			select {
-			case got := <-a.attempt.answer:
+			case got := <-a.attempt.result:
 				w.answered(r, a, got)
 			default:
 			}
@@ -531,9 +531,9 @@
 		return
 	}
 	a.grant = got.id
-	if clockStart+w.now-r.startedAt-got.at >= r.d.startWithin() {
+	if clockStart+w.now-r.startedAt-got.decidedAt >= r.d.startTimeout() {
 		w.note("%s: %s does not start, its place is too old", a.router, a.id)
-		r.step(ended{id: got.id, result: admit.Unknown})
+		r.step(endEvent{id: got.id, result: admit.Unknown})
 		w.queueAsk(r, a)
 		return
 	}
@@ -566,7 +566,7 @@
 	a.done = true
 	w.servers[a.server].inFlight--
 	w.note("%s: %s ends on %s", a.router, a.id, a.server)
-	r.step(ended{id: a.grant, result: admit.Answered, whole: true, tokens: a.tokens})
+	r.step(endEvent{id: a.grant, result: admit.Answered, completed: true, tokens: a.tokens})
 }
 
 // mark marks a backend server and publishes the table.
