--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -32,7 +32,7 @@
 	}
 	removeHopHeaders(resp.Header)
 	switch {
-	case !x.call.Events || x.call.Opaque && resp.StatusCode != http.StatusOK:
+	case !x.call.MayStream || x.call.Opaque && resp.StatusCode != http.StatusOK:
 		x.copyPlain(resp)
 	case isEventStream(resp):
 		x.copyEvents(resp)
@@ -44,10 +44,10 @@
 }
 
 // hear notes what the backend server says of itself.
-func (x *exchange) hear(said Said) {
-	x.result.Said = said
-	if x.call.Said != nil && said != (Said{}) {
-		x.call.Said(said)
+func (x *exchange) hear(said Notice) {
+	x.result.Notice = said
+	if x.call.OnNotice != nil && said != (Notice{}) {
+		x.call.OnNotice(said)
 	}
 }
 
@@ -57,7 +57,7 @@
 	if x.call.Resume {
 		return resp.StatusCode != http.StatusOK || !isEventStream(resp)
 	}
-	return x.call.HoldFailure && resp.StatusCode >= http.StatusInternalServerError
+	return x.call.WithholdServerErrors && resp.StatusCode >= http.StatusInternalServerError
 }
 
 func (x *exchange) refused(resp *http.Response) {
@@ -88,16 +88,16 @@
 	}
 	x.result.FirstByte = x.client.opt.clock.Now()
 	x.silence.began.Store(true)
-	if x.call.First != nil {
-		x.call.First()
+	if x.call.OnFirstByte != nil {
+		x.call.OnFirstByte()
 	}
 }
 
 // copyPlain passes the answer of a plain service on: one that is short as a
 // whole, a longer one as it comes.
 func (x *exchange) copyPlain(resp *http.Response) {
-	buf := make([]byte, max(copyBufSize, x.call.Buffer))
-	n, err := x.readUpTo(resp, buf[:x.call.Buffer])
+	buf := make([]byte, max(copyBufSize, x.call.BufferLimit))
+	n, err := x.readUpTo(resp, buf[:x.call.BufferLimit])
 	if err != nil && !errors.Is(err, io.EOF) {
 		x.broken(err)
 		return
@@ -172,7 +172,7 @@
 
 // copyEvents passes a stream of events on, event by event.
 func (x *exchange) copyEvents(resp *http.Response) {
-	var events eventReader = NewEvents(resp.Body)
+	var events eventReader = NewCompletionReader(resp.Body)
 	if x.call.Opaque {
 		events = newNumbered(resp.Body, x.call.LastEvent)
 	} else {
@@ -190,11 +190,11 @@
 		}
 		x.call.Served.Store(events.Tokens())
 		x.client.passed.events.Add(1)
-		if !x.pass(ev, !events.Waiting()) {
+		if !x.pass(ev, !events.Buffered()) {
 			return
 		}
-		x.result.LastEvent = events.Last()
-		if !events.Waiting() {
+		x.result.LastEvent = events.LastEvent()
+		if !events.Buffered() {
 			x.gather()
 		}
 	}
@@ -205,10 +205,10 @@
 // router at its limit has 2,000 events a second: gathered for 66 ms, 1.17 times as many
 // requests of a flooding account were answered (61 routers, two plays and one).
 func (x *exchange) gather() {
-	if x.call.Gather == nil {
+	if x.call.BatchDelay == nil {
 		return
 	}
-	if wait := x.call.Gather(); wait > 0 {
+	if wait := x.call.BatchDelay(); wait > 0 {
 		time.Sleep(wait)
 	}
 }
--- a/internal/backend/called_off_test.go
+++ b/internal/backend/called_off_test.go
@@ -47,7 +47,7 @@
 						cancel()
 					}()
 				}
-				c := backend.New(backend.WithDialect(testDialect()), backend.WithIdle(long))
+				c := backend.New(backend.WithHeaders(testDialect()), backend.WithIdleTimeout(long))
 				defer c.Close()
 				got := c.Do(ctx, routedCall(s.ln.Addr().String()), &recorder{})
 				if got.Err == nil || got.Err.Code != code {
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -17,11 +17,11 @@
 
 // Bounds of an exchange with a backend server.
 const (
-	// DefaultMaxAnswer is the largest whole answer that is taken, in bytes.
-	DefaultMaxAnswer = 32 << 20
-	// DefaultIdle is how long a stream may stay silent.
-	DefaultIdle = 60 * time.Second
-	copyBufSize = 32 << 10
+	// DefaultMaxResponse is the largest whole answer that is taken, in bytes.
+	DefaultMaxResponse = 32 << 20
+	// DefaultIdleTimeout is how long a stream may stay silent.
+	DefaultIdleTimeout = 60 * time.Second
+	copyBufSize        = 32 << 10
 )
 
 // Dialer opens a connection; net.Dialer is one.
@@ -46,59 +46,59 @@
 	Account string
 	// Instance is the start of the backend server that is meant, "" for any.
 	Instance string
-	// Born is when that start was, 0 if it does not say: it may bear an earlier one's
+	// StartTime is when that start was, 0 if it does not say: it may bear an earlier one's
 	// name.
-	Born int64
-	// Connections is this router's part of the connections that the backend server
+	StartTime int64
+	// MaxConnections is this router's part of the connections that the backend server
 	// takes: beyond it, connections that rest are closed; 0 is no bound.
-	Connections int
+	MaxConnections int
 	// Deadline is when the answer is worth nothing any more; zero if the
 	// backend server is not told.
 	Deadline time.Time
-	// Once says that the request must not run twice.
-	Once bool
-	// Events says that the answer to copy may be a stream of events whose
+	// NotRepeatable says that the request must not run twice.
+	NotRepeatable bool
+	// MayStream says that the answer to copy may be a stream of events whose
 	// tokens are counted; a plain service's answer is copied as it is.
-	Events bool
+	MayStream bool
 	// Opaque says that events are passed on without a look at their data.
 	Opaque bool
-	// FetchFrom is the address of a backend server from which the prompt's shared
+	// CopyPrefixFrom is the address of a backend server from which the prompt's shared
 	// parts are copied before what is left of it is read, "" if none.
-	FetchFrom string
+	CopyPrefixFrom string
 	// Resume says that the sink has begun and the answer goes on after
 	// LastEvent.
 	Resume bool
 	// LastEvent is the number of the last event that the caller has, 0 if
 	// none.
 	LastEvent uint64
-	// HoldFailure says that a failure of the backend server's own is not
+	// WithholdServerErrors says that a failure of the backend server's own is not
 	// passed on, because the request may be tried again.
-	HoldFailure bool
-	// Buffer is up to how many bytes a plain answer is taken whole before it
+	WithholdServerErrors bool
+	// BufferLimit is up to how many bytes a plain answer is taken whole before it
 	// is passed on, so that a broken one can be told or tried again.
-	Buffer int
-	// Patience is how long the backend server may be silent while another one
+	BufferLimit int
+	// Failover is how long the backend server may be silent while another one
 	// can be tried.
-	Patience Patience
+	Failover Failover
 	// MayStart is asked just before the first byte is sent.
 	MayStart func() bool
-	// Gather tells for how long the events that follow one are gathered, to be passed
+	// BatchDelay tells for how long the events that follow one are gathered, to be passed
 	// on together; nil if each is passed on as it comes.
-	Gather func() time.Duration
+	BatchDelay func() time.Duration
 	// Served counts the tokens or events as they come.
 	Served *atomic.Int64
-	// First is called when the first event or byte of a body came; nil if
+	// OnFirstByte is called when the first event or byte of a body came; nil if
 	// nobody asks.
-	First func()
-	// Said is called with what the backend server says of itself, when the head of its
+	OnFirstByte func()
+	// OnNotice is called with what the backend server says of itself, when the head of its
 	// answer came and if it says something; nil if nobody asks.
-	Said func(Said)
+	OnNotice func(Notice)
 }
 
 // connKey names the connections that may carry the call: one that was opened
 // to an earlier start of a backend server is no use.
 func (c *Call) connKey() string {
-	return c.Address + " " + c.Instance + " " + strconv.FormatInt(c.Born, 10)
+	return c.Address + " " + c.Instance + " " + strconv.FormatInt(c.StartTime, 10)
 }
 
 // Sink is where the answer goes.
@@ -121,18 +121,18 @@
 	Sent bool
 	// Began says whether the caller has received a part of the answer.
 	Began bool
-	// Failed says that the backend server could not be reached.
-	Failed bool
-	// Silent says that it sent nothing for too long.
-	Silent bool
+	// Unreachable says that the backend server could not be reached.
+	Unreachable bool
+	// Stalled says that it sent nothing for too long.
+	Stalled bool
 	// Status is the answer's status, 0 if there was none.
 	Status int
 	// FirstByte is when the first byte of the body came, zero if none did.
 	FirstByte time.Time
 	// LastEvent is the number of the last event that was passed on.
 	LastEvent uint64
-	// Said is what the backend server says of itself in its answer.
-	Said Said
+	// Notice is what the backend server says of itself in its answer.
+	Notice Notice
 }
 
 // Client calls backend servers.
@@ -146,23 +146,23 @@
 // passed counts what was passed on to callers since the start.
 type passed struct{ events, sends atomic.Int64 }
 
-// Passed is what was passed on to callers since the start.
-type Passed struct {
-	// Events counts the events of streams, Sends the times that something was sent
+// Stats is what was passed on to callers since the start.
+type Stats struct {
+	// Events counts the events of streams, Flushes the times that something was sent
 	// on to a caller: one for several events where they came together.
-	Events, Sends int64
+	Events, Flushes int64
 }
 
-// Passed returns what was passed on since the start.
-func (c *Client) Passed() Passed {
-	return Passed{Events: c.passed.events.Load(), Sends: c.passed.sends.Load()}
+// Stats returns what was passed on since the start.
+func (c *Client) Stats() Stats {
+	return Stats{Events: c.passed.events.Load(), Flushes: c.passed.sends.Load()}
 }
 
 type options struct {
 	dialer    Dialer
 	maxAnswer int64
 	idle      time.Duration
-	dialect   Dialect
+	dialect   HeaderConfig
 	clock     *clock.Clock
 }
 
@@ -172,25 +172,25 @@
 // WithDialer replaces the plain TCP dialer.
 func WithDialer(d Dialer) Option { return func(o *options) { o.dialer = d } }
 
-// WithMaxAnswer sets the largest whole answer, in bytes.
-func WithMaxAnswer(n int64) Option { return func(o *options) { o.maxAnswer = n } }
+// WithMaxResponse sets the largest whole answer, in bytes.
+func WithMaxResponse(n int64) Option { return func(o *options) { o.maxAnswer = n } }
 
-// WithIdle sets how long a stream may stay silent.
-func WithIdle(d time.Duration) Option { return func(o *options) { o.idle = d } }
+// WithIdleTimeout sets how long a stream may stay silent.
+func WithIdleTimeout(d time.Duration) Option { return func(o *options) { o.idle = d } }
 
 // WithClock sets the clock by which deadlines and rests are told.
 func WithClock(c *clock.Clock) Option { return func(o *options) { o.clock = c } }
 
-// WithDialect sets the headers that are exchanged.
-func WithDialect(d Dialect) Option { return func(o *options) { o.dialect = d } }
+// WithHeaders sets the headers that are exchanged.
+func WithHeaders(d HeaderConfig) Option { return func(o *options) { o.dialect = d } }
 
 // New returns a client.
 func New(opts ...Option) *Client {
 	c := &Client{opt: options{
 		dialer:    &net.Dialer{},
-		maxAnswer: DefaultMaxAnswer,
-		idle:      DefaultIdle,
-		dialect:   OwnDialect(),
+		maxAnswer: DefaultMaxResponse,
+		idle:      DefaultIdleTimeout,
+		dialect:   DefaultHeaders(),
 		clock:     clock.System(),
 	}}
 	for _, f := range opts {
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -150,7 +150,7 @@
 func newCall(address string) backend.Call {
 	return backend.Call{
 		Address: address, Method: http.MethodPost, Path: "/v1/completions", Body: bytes.Repeat([]byte("x"), 1<<20),
-		RequestID: "req-1", Once: true, Events: true, MayStart: func() bool { return true }, Served: &atomic.Int64{},
+		RequestID: "req-1", NotRepeatable: true, MayStream: true, MayStart: func() bool { return true }, Served: &atomic.Int64{},
 	}
 }
 
@@ -190,8 +190,8 @@
 	address := ln.Addr().String()
 	_ = ln.Close()
 	got, tokens := do(newCall(address), &recorder{})
-	if diff := cmp.Diff(want{Verdict: verdict.NotRun, Code: "backend-unreachable"}, summary(got, tokens)); diff != "" || !got.Failed {
-		t.Errorf("outcome (-want +got), failed %v:\n%s", got.Failed, diff)
+	if diff := cmp.Diff(want{Verdict: verdict.NotRun, Code: "backend-unreachable"}, summary(got, tokens)); diff != "" || !got.Unreachable {
+		t.Errorf("outcome (-want +got), failed %v:\n%s", got.Unreachable, diff)
 	}
 }
 
@@ -225,7 +225,7 @@
 	f.Add([]byte(": c\n\nevent: e\ndata: {}\n\n"))
 	f.Add([]byte("data: {\"id\":\"a\"}\n\ndata: {\"id\":\"b\"}\n\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		e := backend.NewEvents(bytes.NewReader(in))
+		e := backend.NewCompletionReader(bytes.NewReader(in))
 		var out []byte
 		for {
 			ev, err := e.Next()
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -73,7 +73,7 @@
 func (cs *conns) take(ctx context.Context, c *Call) (*conn, error) {
 	key := c.connKey()
 	for {
-		kept := cs.pop(key, c.Once)
+		kept := cs.pop(key, c.NotRepeatable)
 		if kept == nil {
 			break
 		}
@@ -82,7 +82,7 @@
 		}
 		cs.drop(key, kept)
 	}
-	cs.makeRoom(key, c.Connections)
+	cs.makeRoom(key, c.MaxConnections)
 	fresh, err := cs.dial(ctx, c.Address)
 	if err != nil {
 		return nil, err
@@ -187,8 +187,8 @@
 	}
 	cs.idle[key] = append(cs.idle[key], c)
 	most := idleEach
-	if call.Connections > 0 {
-		most = max(1, min(most, call.Connections-cs.inUse[key]))
+	if call.MaxConnections > 0 {
+		most = max(1, min(most, call.MaxConnections-cs.inUse[key]))
 	}
 	for len(cs.idle[key]) > most {
 		cs.closeOldest(key)
--- a/internal/backend/dialect.go
+++ b/internal/backend/dialect.go
@@ -17,9 +17,9 @@
 	HeaderNotRun = "X-Not-Run"
 )
 
-// Dialect names the headers that are exchanged with backend servers. An empty
+// HeaderConfig names the headers that are exchanged with backend servers. An empty
 // name means that the header is not spoken.
-type Dialect struct {
+type HeaderConfig struct {
 	// RequestID carries the request's id, which answers repeat.
 	RequestID string
 	// Priority carries the priority to an engine that honours it.
@@ -36,23 +36,23 @@
 	// Proof is set in every answer that a backend server made itself; a
 	// success without it is none.
 	Proof string
-	// Fetch is the address of another backend server, from which this one copies
+	// CopyPrefixFrom is the address of another backend server, from which this one copies
 	// what it keeps of the prompt.
-	Fetch string
+	CopyPrefixFrom string
 	// Leaving is set in an answer of a backend server that is about to stop.
 	Leaving string
 	// LastEvent names the last event of a stream that was received.
 	LastEvent string
 }
 
-// OwnDialect returns the headers of the product's own interface.
-func OwnDialect() Dialect {
-	return Dialect{RequestID: HeaderRequestID, Priority: HeaderPriority, NotRun: HeaderNotRun}
+// DefaultHeaders returns the headers of the product's own interface.
+func DefaultHeaders() HeaderConfig {
+	return HeaderConfig{RequestID: HeaderRequestID, Priority: HeaderPriority, NotRun: HeaderNotRun}
 }
 
 // notRun reports whether the backend server itself says that it did not run
 // the request.
-func (d *Dialect) notRun(resp *http.Response) bool {
+func (d *HeaderConfig) notRun(resp *http.Response) bool {
 	switch resp.StatusCode {
 	case http.StatusMisdirectedRequest:
 		return d.Instance != ""
@@ -65,7 +65,7 @@
 }
 
 // proven reports whether a success is the backend server's own.
-func (d *Dialect) proven(resp *http.Response) bool {
+func (d *HeaderConfig) proven(resp *http.Response) bool {
 	if d.Proof == "" || resp.StatusCode < http.StatusOK || resp.StatusCode >= http.StatusMultipleChoices {
 		return true
 	}
--- a/internal/backend/events.go
+++ b/internal/backend/events.go
@@ -18,14 +18,14 @@
 
 // Errors of a stream that is not what an engine should send.
 var (
-	ErrGarbage  = errors.New("backend: the stream holds something that is no event")
-	ErrCrossed  = errors.New("backend: the stream holds a part of another answer")
-	ErrAfterEnd = errors.New("backend: the stream goes on after its end")
-	ErrTooLong  = errors.New("backend: an event is over the limit")
+	ErrMalformed      = errors.New("backend: the stream holds something that is no event")
+	ErrMixedResponses = errors.New("backend: the stream holds a part of another answer")
+	ErrDataAfterEnd   = errors.New("backend: the stream goes on after its end")
+	ErrEventTooLarge  = errors.New("backend: an event is over the limit")
 )
 
-// Events reads server-sent events of one answer and checks each of them.
-type Events struct {
+// CompletionReader reads server-sent events of one answer and checks each of them.
+type CompletionReader struct {
 	r      *bufio.Reader
 	event  bytes.Buffer
 	id     string
@@ -33,24 +33,24 @@
 	done   bool
 }
 
-// NewEvents returns a reader of the events in r.
-func NewEvents(r io.Reader) *Events {
-	return &Events{r: bufio.NewReaderSize(r, readSize)}
+// NewCompletionReader returns a reader of the events in r.
+func NewCompletionReader(r io.Reader) *CompletionReader {
+	return &CompletionReader{r: bufio.NewReaderSize(r, readSize)}
 }
 
 // Tokens returns how many tokens the events so far carried.
-func (e *Events) Tokens() int64 { return e.tokens }
+func (e *CompletionReader) Tokens() int64 { return e.tokens }
 
 // Done reports whether the answer's end was read.
-func (e *Events) Done() bool { return e.done }
+func (e *CompletionReader) Done() bool { return e.done }
 
-// Waiting reports whether more bytes have already come, so that what was read
+// Buffered reports whether more bytes have already come, so that what was read
 // so far need not be sent on by itself.
-func (e *Events) Waiting() bool { return e.r.Buffered() > 0 }
+func (e *CompletionReader) Buffered() bool { return e.r.Buffered() > 0 }
 
 // Next returns the bytes of the next event with its blank line; they are valid
 // until the next call. It returns io.EOF where the stream ends between events.
-func (e *Events) Next() ([]byte, error) {
+func (e *CompletionReader) Next() ([]byte, error) {
 	e.event.Reset()
 	for {
 		line, err := e.line()
@@ -69,11 +69,11 @@
 	}
 }
 
-// Last returns 0: these events have no numbers.
-func (e *Events) Last() uint64 { return 0 }
+// LastEvent returns 0: these events have no numbers.
+func (e *CompletionReader) LastEvent() uint64 { return 0 }
 
 // line reads one line into the event and returns it.
-func (e *Events) line() ([]byte, error) {
+func (e *CompletionReader) line() ([]byte, error) {
 	start := e.event.Len()
 	if err := readLine(e.r, &e.event); err != nil {
 		return nil, err
@@ -88,9 +88,9 @@
 	otherFields = [][]byte{[]byte("event:"), []byte("id:"), []byte("retry:"), []byte(":")}
 )
 
-func (e *Events) check(line []byte) error {
+func (e *CompletionReader) check(line []byte) error {
 	if e.done {
-		return ErrAfterEnd
+		return ErrDataAfterEnd
 	}
 	data, ok := bytes.CutPrefix(line, dataField)
 	if !ok {
@@ -99,7 +99,7 @@
 				return nil
 			}
 		}
-		return ErrGarbage
+		return ErrMalformed
 	}
 	data = bytes.TrimSpace(data)
 	if bytes.Equal(data, endMark) {
@@ -109,7 +109,7 @@
 	return e.checkData(data)
 }
 
-func (e *Events) checkData(data []byte) error {
+func (e *CompletionReader) checkData(data []byte) error {
 	info, err := parseChunk(data)
 	if err != nil {
 		return err
@@ -118,7 +118,7 @@
 		e.id = info.ID
 	}
 	if info.ID != e.id && info.ID != "" {
-		return ErrCrossed
+		return ErrMixedResponses
 	}
 	if len(info.Choices) > 0 {
 		e.tokens++
@@ -144,7 +144,7 @@
 func parseChunk(data []byte) (chunk, error) {
 	var c chunk
 	if err := json.Unmarshal(data, &c); err != nil {
-		return chunk{}, fmt.Errorf("%w: %w", ErrGarbage, err)
+		return chunk{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return c, nil
 }
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -86,7 +86,7 @@
 	key := x.call.connKey()
 	h := x.client.hearings.use(key)
 	defer x.client.hearings.leave(key, h)
-	x.silence = watchSilence(x.client.opt.clock, x.conn, h, x.client.opt.idle, x.call.Patience)
+	x.silence = watchSilence(x.client.opt.clock, x.conn, h, x.client.opt.idle, x.call.Failover)
 	defer x.silence.stop()
 	resp, err := x.receive()
 	if err != nil {
@@ -167,12 +167,12 @@
 func (x *exchange) setHeaders(h http.Header) {
 	d := &x.client.opt.dialect
 	set(h, d.RequestID, x.call.RequestID)
-	if x.call.Events && !x.call.Opaque {
+	if x.call.MayStream && !x.call.Opaque {
 		set(h, d.Priority, formatPriority(x.call.Priority))
 	}
 	setOrDrop(h, d.Account, x.call.Account)
 	setOrDrop(h, d.Instance, x.call.Instance)
-	setOrDrop(h, d.Fetch, x.call.FetchFrom)
+	setOrDrop(h, d.CopyPrefixFrom, x.call.CopyPrefixFrom)
 	if !x.call.Deadline.IsZero() {
 		set(h, d.Deadline, strconv.FormatInt(max(1, x.client.opt.clock.Until(x.call.Deadline).Milliseconds()), 10))
 	}
@@ -211,7 +211,7 @@
 	if x.wasCalledOff(verdict.PhaseDial, err) {
 		return
 	}
-	x.result.Failed = true
+	x.result.Unreachable = true
 	x.fail(verdict.PhaseDial, http.StatusBadGateway, "backend-unreachable", detail, err)
 }
 
@@ -240,7 +240,7 @@
 // silent notes that the connection was closed for its silence; it reports
 // whether that was to try another backend server.
 func (x *exchange) silent() bool {
-	x.result.Silent = x.silence.fired.Load()
+	x.result.Stalled = x.silence.fired.Load()
 	if x.silence.left.Load() {
 		x.fail(verdict.PhaseStream, http.StatusBadGateway, "backend-silent", "the backend server fell silent", errSilent)
 	}
--- a/internal/backend/gather_test.go
+++ b/internal/backend/gather_test.go
@@ -28,14 +28,14 @@
 	})
 	call := routedCall(s.ln.Addr().String())
 	calls := 0
-	call.Gather = func() time.Duration {
+	call.BatchDelay = func() time.Duration {
 		if calls++; calls == 1 {
 			close(gathering)
 			<-sent
 		}
 		return time.Millisecond
 	}
-	c := backend.New(backend.WithDialect(testDialect()))
+	c := backend.New(backend.WithHeaders(testDialect()))
 	defer c.Close()
 	sink := &recorder{}
 	result := c.Do(context.Background(), call, sink)
@@ -45,7 +45,7 @@
 	if diff := cmp.Diff(numbered(1, 4), sink.body.String()); diff != "" {
 		t.Errorf("passed on (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(backend.Passed{Events: 4, Sends: 2}, c.Passed()); diff != "" {
+	if diff := cmp.Diff(backend.Stats{Events: 4, Flushes: 2}, c.Stats()); diff != "" {
 		t.Errorf("counted (-want +got):\n%s", diff)
 	}
 }
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -14,15 +14,15 @@
 // loadTimeout bounds one read of a load.
 const loadTimeout = time.Second
 
-// Loads reads the load that backend servers report.
-type Loads struct {
+// LoadReader reads the load that backend servers report.
+type LoadReader struct {
 	dialer Dialer
 	http   *http.Client
 }
 
-// NewLoads returns a reader that dials with d.
-func NewLoads(d Dialer) *Loads {
-	return &Loads{dialer: d, http: &http.Client{
+// NewLoadReader returns a reader that dials with d.
+func NewLoadReader(d Dialer) *LoadReader {
+	return &LoadReader{dialer: d, http: &http.Client{
 		Transport: &http.Transport{DialContext: d.DialContext},
 		Timeout:   loadTimeout,
 	}}
@@ -35,7 +35,7 @@
 
 // Load returns how many requests run at a backend server as it last reported.
 // A plain service reports nothing; for it, Load only tells whether it listens.
-func (l *Loads) Load(ctx context.Context, b table.Backend) (int, error) {
+func (l *LoadReader) Load(ctx context.Context, b table.Backend) (int, error) {
 	if b.Kind == table.Service {
 		return 0, l.listens(ctx, b.Address)
 	}
@@ -54,7 +54,7 @@
 	return report.InFlight, nil
 }
 
-func (l *Loads) listens(ctx context.Context, address string) error {
+func (l *LoadReader) listens(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	conn, err := l.dialer.DialContext(ctx, "tcp", address)
@@ -65,4 +65,4 @@
 }
 
 // Close closes the idle connections.
-func (l *Loads) Close() { l.http.CloseIdleConnections() }
+func (l *LoadReader) Close() { l.http.CloseIdleConnections() }
--- a/internal/backend/numbered.go
+++ b/internal/backend/numbered.go
@@ -16,12 +16,12 @@
 	Next() ([]byte, error)
 	// Tokens returns how many tokens or events were read.
 	Tokens() int64
-	// Last returns the number of the last event, 0 if it has none.
-	Last() uint64
+	// LastEvent returns the number of the last event, 0 if it has none.
+	LastEvent() uint64
 	// Done reports whether the answer may end here.
 	Done() bool
-	// Waiting reports whether more bytes have already come.
-	Waiting() bool
+	// Buffered reports whether more bytes have already come.
+	Buffered() bool
 }
 
 // ErrOutOfOrder says that an event's number does not follow the one before.
@@ -62,7 +62,7 @@
 		if text, ok := bytes.CutPrefix(line, idField); ok {
 			n, err := strconv.ParseUint(string(bytes.TrimSpace(text)), 10, 64)
 			if err != nil {
-				return nil, ErrGarbage
+				return nil, ErrMalformed
 			}
 			id = n
 		}
@@ -83,14 +83,14 @@
 // Tokens implements eventReader.
 func (e *numbered) Tokens() int64 { return e.count }
 
-// Last implements eventReader.
-func (e *numbered) Last() uint64 { return e.last }
+// LastEvent implements eventReader.
+func (e *numbered) LastEvent() uint64 { return e.last }
 
 // Done implements eventReader: the end of the answer is the stream's.
 func (e *numbered) Done() bool { return true }
 
-// Waiting implements eventReader.
-func (e *numbered) Waiting() bool { return e.r.Buffered() > 0 }
+// Buffered implements eventReader.
+func (e *numbered) Buffered() bool { return e.r.Buffered() > 0 }
 
 // readLine appends one line to the event.
 func readLine(r *bufio.Reader, event *bytes.Buffer) error {
@@ -98,7 +98,7 @@
 		part, err := r.ReadSlice('\n')
 		event.Write(part)
 		if event.Len() > maxEvent {
-			return ErrTooLong
+			return ErrEventTooLarge
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return err
--- a/internal/backend/part_test.go
+++ b/internal/backend/part_test.go
@@ -88,7 +88,7 @@
 	b := serveBounded(t, 100, atOnce)
 	clients := make([]*backend.Client, routers)
 	for i := range clients {
-		clients[i] = backend.New(backend.WithDialect(testDialect()))
+		clients[i] = backend.New(backend.WithHeaders(testDialect()))
 		defer clients[i].Close()
 	}
 	for range rounds {
@@ -97,7 +97,7 @@
 			for range atOnce {
 				all.Go(func() {
 					call := routedCall(b.ln.Addr().String())
-					call.Events, call.Body, call.Connections = false, nil, 1
+					call.MayStream, call.Body, call.MaxConnections = false, nil, 1
 					if r := c.Do(context.Background(), call, &recorder{}); r.Err != nil {
 						t.Errorf("request failed: %v", r.Err)
 					}
--- a/internal/backend/routed_test.go
+++ b/internal/backend/routed_test.go
@@ -17,10 +17,10 @@
 )
 
 // testDialect has a name for every header.
-func testDialect() backend.Dialect {
-	return backend.Dialect{
+func testDialect() backend.HeaderConfig {
+	return backend.HeaderConfig{
 		RequestID: "X-Id", NotRun: "X-Unrun", Deadline: "X-Left", Instance: "X-Meant", Account: "X-Account", Proof: "X-Proof", LastEvent: "Last-Event-Id",
-		Fetch: "X-Fetch", Leaving: "X-Leaves",
+		CopyPrefixFrom: "X-Fetch", Leaving: "X-Leaves",
 	}
 }
 
@@ -29,13 +29,13 @@
 	call := newCall(address)
 	call.Opaque = true
 	call.Body = []byte("body")
-	call.Buffer = 1 << 10
-	call.Once = false
+	call.BufferLimit = 1 << 10
+	call.NotRepeatable = false
 	return call
 }
 
 func doRouted(call backend.Call, sink backend.Sink) backend.Result {
-	c := backend.New(backend.WithDialect(testDialect()))
+	c := backend.New(backend.WithHeaders(testDialect()))
 	defer c.Close()
 	return c.Do(context.Background(), call, sink)
 }
@@ -94,10 +94,10 @@
 		"not run":                       {"HTTP/1.1 503 Busy\r\nX-Id: req-1\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n", nil, outcome{Code: "backend-refused", Verdict: verdict.NotRun}},
 		"replaced":                      {"HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", nil, outcome{Code: "backend-replaced", Verdict: verdict.NotRun}},
 		"busy without a word of it":     {"HTTP/1.1 503 Busy\r\nX-Id: req-1\r\nX-Proof: p\r\nContent-Length: 2\r\n\r\nno", nil, outcome{Verdict: verdict.Ran, Began: true, Body: "no"}},
-		"a failure that may be mended":  {"HTTP/1.1 500 Oops\r\nX-Id: req-1\r\nX-Proof: p\r\nContent-Length: 2\r\n\r\nno", func(c *backend.Call) { c.HoldFailure = true }, outcome{Code: "backend-failed", Verdict: verdict.Ran}},
-		"plain":                         {plain + "Content-Length: 4\r\n\r\nbody", func(c *backend.Call) { c.Events = false }, outcome{Verdict: verdict.Ran, Began: true, Body: "body"}},
-		"plain, cut while it is short":  {plain + "Content-Length: 40\r\n\r\nbody", func(c *backend.Call) { c.Events = false }, outcome{Code: "answer-cut"}},
-		"plain, cut when it is long":    {plain + "Content-Length: 4000\r\n\r\n" + strings.Repeat("x", 2000), func(c *backend.Call) { c.Events = false }, outcome{Code: "answer-cut", Began: true, Body: strings.Repeat("x", 2000)}},
+		"a failure that may be mended":  {"HTTP/1.1 500 Oops\r\nX-Id: req-1\r\nX-Proof: p\r\nContent-Length: 2\r\n\r\nno", func(c *backend.Call) { c.WithholdServerErrors = true }, outcome{Code: "backend-failed", Verdict: verdict.Ran}},
+		"plain":                         {plain + "Content-Length: 4\r\n\r\nbody", func(c *backend.Call) { c.MayStream = false }, outcome{Verdict: verdict.Ran, Began: true, Body: "body"}},
+		"plain, cut while it is short":  {plain + "Content-Length: 40\r\n\r\nbody", func(c *backend.Call) { c.MayStream = false }, outcome{Code: "answer-cut"}},
+		"plain, cut when it is long":    {plain + "Content-Length: 4000\r\n\r\n" + strings.Repeat("x", 2000), func(c *backend.Call) { c.MayStream = false }, outcome{Code: "answer-cut", Began: true, Body: strings.Repeat("x", 2000)}},
 		"continued":                     {chunked(streamHead, numbered(3, 4), true), resume, outcome{Verdict: verdict.Ran, Began: true, Last: 4, Body: numbered(3, 4)}},
 		"continued from the beginning":  {chunked(streamHead, numbered(1, 4), true), resume, outcome{Code: "answer-cut", Last: 2}},
 		"continued by a failure":        {"HTTP/1.1 500 Oops\r\nX-Id: req-1\r\nX-Proof: p\r\nContent-Length: 2\r\n\r\nno", resume, outcome{Code: "backend-failed", Verdict: verdict.Ran, Last: 2}},
@@ -172,11 +172,11 @@
 				}
 				conversation(answer("req-1", ""))(s, conn)
 			})
-			c := backend.New(backend.WithDialect(testDialect()))
+			c := backend.New(backend.WithHeaders(testDialect()))
 			defer c.Close()
 			for i := range 2 {
 				call := routedCall(s.ln.Addr().String())
-				call.Events = false
+				call.MayStream = false
 				sink := &recorder{}
 				if r := c.Do(context.Background(), call, sink); r.Err != nil || sink.body.String() != "ok" {
 					t.Fatalf("request %d: %v, %q", i, r.Err, sink.body.String())
@@ -203,7 +203,7 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Busy\r\nX-Id: req-1\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n")
 		_, _ = io.Copy(io.Discard, conn)
 	})
-	c := backend.New(backend.WithDialect(testDialect()))
+	c := backend.New(backend.WithHeaders(testDialect()))
 	defer c.Close()
 	for range 2 {
 		call := routedCall(s.ln.Addr().String())
@@ -229,7 +229,7 @@
 	})
 	call := routedCall(s.ln.Addr().String())
 	call.Path, call.Host = "/a/../b?x=%20", "forms.example"
-	call.Account, call.Instance, call.FetchFrom = "moka", "i-7", "10.0.0.9:80"
+	call.Account, call.Instance, call.CopyPrefixFrom = "moka", "i-7", "10.0.0.9:80"
 	call.Header = http.Header{
 		"X-Account": {"forged"}, "X-Fetch": {"forged"}, "X-Kept": {"1", "2"}, "Connection": {"X-Dropped, close"}, "X-Dropped": {"1"},
 		"Transfer-Encoding": {"chunked"}, "Content-Length": {"999"}, "Te": {"x"},
--- a/internal/backend/said.go
+++ b/internal/backend/said.go
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// MaxRest bounds the rest that a backend server may ask for: a wrong value takes it away
+// MaxRetryAfter bounds the rest that a backend server may ask for: a wrong value takes it away
 // from this router for so long at the most.
-const MaxRest = 10 * time.Minute
+const MaxRetryAfter = 10 * time.Minute
 
 // maxUnread bounds what is kept of a value that could not be read, in bytes.
 const maxUnread = 40
 
-// Said is what a backend server says of itself in an answer, beside the answer.
-type Said struct {
+// Notice is what a backend server says of itself in an answer, beside the answer.
+type Notice struct {
 	// Leaving says that it is about to stop and wants no new request.
 	Leaving bool
-	// Rest is for how long it wants no request from this router, 0 if it asks for
+	// RetryAfter is for how long it wants no request from this router, 0 if it asks for
 	// none.
-	Rest time.Duration
-	// Unread is a value that could not be read, "" if there is none.
-	Unread string
+	RetryAfter time.Duration
+	// Invalid is a value that could not be read, "" if there is none.
+	Invalid string
 }
 
 // said reads what a backend server says of itself. An answer of another one that has
 // the address now says nothing of the one that was meant.
-func (d *Dialect) said(resp *http.Response, now time.Time) Said {
+func (d *HeaderConfig) said(resp *http.Response, now time.Time) Notice {
 	if resp.StatusCode == http.StatusMisdirectedRequest && d.Instance != "" {
-		return Said{}
+		return Notice{}
 	}
-	var s Said
+	var s Notice
 	if d.Leaving != "" {
-		s.Leaving, s.Unread = readFlag(resp.Header.Get(d.Leaving))
+		s.Leaving, s.Invalid = readFlag(resp.Header.Get(d.Leaving))
 	}
 	if v := resp.Header.Get("Retry-After"); v != "" && resp.StatusCode == http.StatusServiceUnavailable {
 		rest, ok := readRest(v, now)
 		if !ok {
-			s.Unread = v
+			s.Invalid = v
 		}
-		s.Rest = rest
+		s.RetryAfter = rest
 	}
-	s.Unread = s.Unread[:min(maxUnread, len(s.Unread))]
+	s.Invalid = s.Invalid[:min(maxUnread, len(s.Invalid))]
 	return s
 }
 
@@ -65,11 +65,11 @@
 		if !(seconds >= 0) {
 			return 0, false
 		}
-		return time.Duration(min(seconds, MaxRest.Seconds()) * float64(time.Second)), true
+		return time.Duration(min(seconds, MaxRetryAfter.Seconds()) * float64(time.Second)), true
 	}
 	at, err := http.ParseTime(v)
 	if err != nil {
 		return 0, false
 	}
-	return min(max(0, at.Sub(now)), MaxRest), true
+	return min(max(0, at.Sub(now)), MaxRetryAfter), true
 }
--- a/internal/backend/silence.go
+++ b/internal/backend/silence.go
@@ -9,17 +9,17 @@
 	"github.com/yarrowmast/yarrowmast/internal/clock"
 )
 
-// Patience says when a request may be taken away from a backend server that is
+// Failover says when a request may be taken away from a backend server that is
 // silent, to be sent to another one.
-type Patience struct {
-	// First is for how long nothing may come from the backend server, on any
+type Failover struct {
+	// FirstByteTimeout is for how long nothing may come from the backend server, on any
 	// connection, before the answer's first event or byte; 0 means any time.
-	First time.Duration
-	// Between is the same between events. An answer that is silent for twice
+	FirstByteTimeout time.Duration
+	// EventTimeout is the same between events. An answer that is silent for twice
 	// as long is taken away though others there go on.
-	Between time.Duration
-	// Leave is asked before: it takes one repeat out of the allowance.
-	Leave func() bool
+	EventTimeout time.Duration
+	// AcquireRetry is asked before: it takes one repeat out of the allowance.
+	AcquireRetry func() bool
 }
 
 // hungTimes is how many times Patience.Between one answer may be silent while
@@ -73,7 +73,7 @@
 	clock    *clock.Clock
 	conn     net.Conn
 	hearing  *hearing
-	patience Patience
+	patience Failover
 	// most is the longest silence that is borne in any case.
 	most    time.Duration
 	started time.Time
@@ -89,7 +89,7 @@
 	stopped     bool
 }
 
-func watchSilence(c *clock.Clock, conn net.Conn, h *hearing, most time.Duration, p Patience) *silence {
+func watchSilence(c *clock.Clock, conn net.Conn, h *hearing, most time.Duration, p Failover) *silence {
 	s := &silence{clock: c, conn: conn, hearing: h, patience: p, most: most, started: c.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,8 +100,8 @@
 // step is the time between two looks.
 func (s *silence) step() time.Duration {
 	step := s.most
-	for _, d := range []time.Duration{s.patience.First, s.patience.Between} {
-		if d > 0 && s.patience.Leave != nil {
+	for _, d := range []time.Duration{s.patience.FirstByteTimeout, s.patience.EventTimeout} {
+		if d > 0 && s.patience.AcquireRetry != nil {
 			step = min(step, d/checksEach)
 		}
 	}
@@ -122,7 +122,7 @@
 	switch {
 	case own >= s.most:
 		s.fired.Store(true)
-	case s.mayLeave(own, now) && s.patience.Leave():
+	case s.mayLeave(own, now) && s.patience.AcquireRetry():
 		s.left.Store(true)
 		s.fired.Store(true)
 	}
@@ -141,14 +141,14 @@
 // mayLeave reports whether the request may be taken away, by how long its own
 // connection and all of the backend server's have been silent.
 func (s *silence) mayLeave(own time.Duration, now time.Time) bool {
-	if s.patience.Leave == nil {
+	if s.patience.AcquireRetry == nil {
 		return false
 	}
 	all := min(own, now.Sub(s.hearing.since)-time.Duration(s.hearing.at.Load()))
 	if !s.began.Load() {
-		return s.patience.First > 0 && all >= s.patience.First
+		return s.patience.FirstByteTimeout > 0 && all >= s.patience.FirstByteTimeout
 	}
-	between := s.patience.Between
+	between := s.patience.EventTimeout
 	return between > 0 && (all >= between || own >= hungTimes*between)
 }
 
--- a/internal/backend/silence_test.go
+++ b/internal/backend/silence_test.go
@@ -11,9 +11,9 @@
 // silent, both in milliseconds.
 func TestMayLeave(t *testing.T) {
 	always := func() bool { return true }
-	both := Patience{First: 800 * time.Millisecond, Between: 500 * time.Millisecond, Leave: always}
+	both := Failover{FirstByteTimeout: 800 * time.Millisecond, EventTimeout: 500 * time.Millisecond, AcquireRetry: always}
 	tests := map[string]struct {
-		patience Patience
+		patience Failover
 		began    bool
 		own, all time.Duration
 		want     bool
@@ -22,13 +22,13 @@
 		"nothing yet, others silent too":     {both, false, 900, 850, true},
 		"nothing yet, for a short time":      {both, false, 700, 700, false},
 		"nothing yet, others were never":     {both, false, 900, 1e9, true},
-		"nothing yet, no bound":              {Patience{Between: 1, Leave: always}, false, 5000, 5000, false},
+		"nothing yet, no bound":              {Failover{EventTimeout: 1, AcquireRetry: always}, false, 5000, 5000, false},
 		"between events, others go on":       {both, true, 700, 10, false},
 		"between events, hung for long":      {both, true, 1000, 10, true},
 		"between events, all silent":         {both, true, 600, 600, true},
 		"between events, others silent only": {both, true, 100, 900, false},
-		"between events, no bound":           {Patience{First: 1, Leave: always}, true, 5000, 5000, false},
-		"no other may be tried":              {Patience{First: 1, Between: 1}, true, 5000, 5000, false},
+		"between events, no bound":           {Failover{FirstByteTimeout: 1, AcquireRetry: always}, true, 5000, 5000, false},
+		"no other may be tried":              {Failover{FirstByteTimeout: 1, EventTimeout: 1}, true, 5000, 5000, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -71,7 +71,7 @@
 		Ahead: got.start.Ahead, Expected: got.start.Expected, Running: got.start.Running,
 		Served: got.served, Waited: r.Waited + got.waited,
 		First:   func() { d.post(began{got.id}) },
-		Said:    func(w backend.Said) { d.post(said{got.id, w}) },
+		Said:    func(w backend.Notice) { d.post(said{got.id, w}) },
 		Hurried: d.Hurried,
 		// A router that stood still for longer has lost its place to another.
 		MayStart: func() bool { return d.now()-got.at < d.startWithin() },
@@ -246,11 +246,11 @@
 
 type said struct {
 	id   uint64
-	word backend.Said
+	word backend.Notice
 }
 
 func (e said) apply(s *state) {
-	s.step(admit.Said{ID: e.id, Leaving: e.word.Leaving, Rest: e.word.Rest})
+	s.step(admit.Said{ID: e.id, Leaving: e.word.Leaving, Rest: e.word.RetryAfter})
 }
 
 type ended struct {
--- a/internal/front/attempt.go
+++ b/internal/front/attempt.go
@@ -24,8 +24,8 @@
 	result := s.backend.Do(ctx, s.call(a, r, g), out)
 	o.Tokens = s.tokens(a, g, started)
 	s.scheduler.Release(g, Usage{
-		Tokens: o.Tokens, Sent: result.Sent, Failed: result.Failed,
-		Status: result.Status, Error: result.Err, Silent: result.Silent,
+		Tokens: o.Tokens, Sent: result.Sent, Failed: result.Unreachable,
+		Status: result.Status, Error: result.Err, Silent: result.Stalled,
 		Request: a.id, Digest: a.digest,
 	})
 	if a.route != nil {
@@ -53,16 +53,16 @@
 	s.opt.log.Info("attempt_end", "request", a.id, "attempt", o.Attempts, "backend", g.Backend, "why", g.Why, "copied_from", g.FetchFrom,
 		"ahead", g.Ahead, "running", g.Running, "expected_ms", g.Expected.Milliseconds(), "first_ms", first,
 		"total_ms", s.clock().Since(started).Milliseconds(), "sent", result.Sent, "events", result.LastEvent, "code", code)
-	s.logSaid(a, g, o, result.Said)
+	s.logSaid(a, g, o, result.Notice)
 }
 
 // logSaid logs what the backend server said of itself, if anything.
-func (s *Server) logSaid(a *ask, g Grant, o *Outcome, said backend.Said) {
-	if said == (backend.Said{}) {
+func (s *Server) logSaid(a *ask, g Grant, o *Outcome, said backend.Notice) {
+	if said == (backend.Notice{}) {
 		return
 	}
 	s.opt.log.Info("backend_said", "request", a.id, "attempt", o.Attempts, "backend", g.Backend,
-		"leaving", said.Leaving, "rest_ms", said.Rest.Milliseconds(), "unread", said.Unread)
+		"leaving", said.Leaving, "rest_ms", said.RetryAfter.Milliseconds(), "unread", said.Invalid)
 }
 
 // tokens is what the attempt is charged: an engine's tokens, or a plain
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -247,8 +247,8 @@
 			f := &fake{t: newTable(t), results: []backend.Result{{}}, calls: make(chan backend.Call, 1)}
 			ask(t, method, start(t, f)+"/services/scores/game/7?a=b", "", nil)
 			call := <-f.calls
-			if call.Once != once || call.Path != "/game/7?a=b" || call.Method != method {
-				t.Errorf("call %s %s, once %v", call.Method, call.Path, call.Once)
+			if call.NotRepeatable != once || call.Path != "/game/7?a=b" || call.Method != method {
+				t.Errorf("call %s %s, once %v", call.Method, call.Path, call.NotRepeatable)
 			}
 			if call.Header.Get("Authorization") != "" {
 				t.Error("the caller's key was passed on")
--- a/internal/front/handle.go
+++ b/internal/front/handle.go
@@ -194,7 +194,7 @@
 	header.Del("Authorization")
 	return backend.Call{
 		Address: g.Address, Method: r.Method, Path: a.path, Header: header, Body: a.body,
-		RequestID: a.id, Priority: max(a.priority, a.account.Priority), Once: a.once, Events: a.events,
+		RequestID: a.id, Priority: max(a.priority, a.account.Priority), NotRepeatable: a.once, MayStream: a.events,
 		MayStart: g.MayStart, Served: g.Served,
 	}
 }
--- a/internal/front/routed.go
+++ b/internal/front/routed.go
@@ -188,15 +188,15 @@
 
 // patience is how long the backend server of a request that may be sent to
 // another one may be silent.
-func (s *Server) patience(a *ask) backend.Patience {
+func (s *Server) patience(a *ask) backend.Failover {
 	x := a.route
 	if x.Repeat == table.RepeatNever || x.sent+1 >= x.MaxAttempts() {
-		return backend.Patience{}
+		return backend.Failover{}
 	}
 	req := a.request()
-	p := backend.Patience{
-		First: max(leastPatience, firstTargets*x.Target),
-		Leave: func() bool {
+	p := backend.Failover{
+		FirstByteTimeout: max(leastPatience, firstTargets*x.Target),
+		AcquireRetry: func() bool {
 			if !s.scheduler.MayRetry(req) {
 				return false
 			}
@@ -205,7 +205,7 @@
 		},
 	}
 	if x.Repeat == table.RepeatResume {
-		p.Between = max(leastPatience, betweenPauses*x.Pause)
+		p.EventTimeout = max(leastPatience, betweenPauses*x.Pause)
 	}
 	return p
 }
@@ -214,12 +214,12 @@
 	header := r.Header.Clone()
 	header.Del(s.opt.dialect.Key)
 	return backend.Call{
-		Address: g.Address, Instance: g.Backend, Born: g.Born, Host: r.Host, Method: r.Method, Path: a.path, Header: header, Body: a.body,
-		RequestID: a.id, Account: a.account.Name, Deadline: a.deadline, Once: a.once, Events: a.events, Opaque: true,
-		Resume: a.route.began, LastEvent: a.route.lastEvent, Buffer: wholeAnswer,
-		HoldFailure: a.route.Repeat != table.RepeatNever && a.route.sent+1 < a.route.MaxAttempts(),
-		FetchFrom:   g.FetchFrom, Connections: g.Connections, Patience: s.patience(a), MayStart: g.MayStart, Served: g.Served, First: g.First, Said: g.Said,
-		Gather: s.gatherFor(a.route, g.Hurried),
+		Address: g.Address, Instance: g.Backend, StartTime: g.Born, Host: r.Host, Method: r.Method, Path: a.path, Header: header, Body: a.body,
+		RequestID: a.id, Account: a.account.Name, Deadline: a.deadline, NotRepeatable: a.once, MayStream: a.events, Opaque: true,
+		Resume: a.route.began, LastEvent: a.route.lastEvent, BufferLimit: wholeAnswer,
+		WithholdServerErrors: a.route.Repeat != table.RepeatNever && a.route.sent+1 < a.route.MaxAttempts(),
+		CopyPrefixFrom:       g.FetchFrom, MaxConnections: g.Connections, Failover: s.patience(a), MayStart: g.MayStart, Served: g.Served, OnFirstByte: g.First, OnNotice: g.Said,
+		BatchDelay: s.gatherFor(a.route, g.Hurried),
 	}
 }
 
--- a/internal/front/scheduler.go
+++ b/internal/front/scheduler.go
@@ -109,7 +109,7 @@
 	First func()
 	// Said is called with what the backend server says of itself, when that comes; nil
 	// if nobody asks.
-	Said func(backend.Said)
+	Said func(backend.Notice)
 	// Hurried reports whether this router has no time to pass each event on by
 	// itself; nil if it always has.
 	Hurried func() bool
--- a/internal/measure/baseline.go
+++ b/internal/measure/baseline.go
@@ -107,7 +107,7 @@
 	if !b.local {
 		return
 	}
-	loads := backend.NewLoads(b.cluster.fabric.Dialer("", ""))
+	loads := backend.NewLoadReader(b.cluster.fabric.Dialer("", ""))
 	defer loads.Close()
 	for _, s := range b.servers {
 		n, err := loads.Load(context.Background(), s.Backend)
--- a/internal/measure/cluster.go
+++ b/internal/measure/cluster.go
@@ -162,7 +162,7 @@
 	case PolicyCentral:
 		opts = append(opts, node.WithScheduler(c.central.schedulerFor(zone)))
 	case PolicyOwners:
-		opts = append(opts, node.WithOwners())
+		opts = append(opts, node.WithDispatcher())
 	case PolicyLocal:
 		opts = append(opts, node.WithScheduler(newBaseline(c, name).schedulerFor(zone)))
 	}
@@ -170,7 +170,7 @@
 	if err != nil {
 		return err
 	}
-	s.Listen = n.Listening()
+	s.Listen = n.ListenAddresses()
 	c.fixed[name] = s
 	c.nodes[name] = n
 	if n.Router == nil {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -60,13 +60,13 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	p.PublishInstances([]client.Instance{{Name: "r", Zone: "z", Address: n.Listening().Peers, State: "live"}})
+	p.PublishInstances([]client.Instance{{Name: "r", Zone: "z", Address: n.ListenAddresses().Peers, State: "live"}})
 	b.Cleanup(func() {
 		n.Kill()
 		e.Close()
 		p.Close()
 	})
-	routed = n.Listening().Callers
+	routed = n.ListenAddresses().Callers
 	for rate == benchRate && send(routed, 1) != nil {
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -54,7 +54,7 @@
 	metrics   *metrics.Metrics
 	burn      *burn.Window
 	backend   *backend.Client
-	loads     *backend.Loads
+	loads     *backend.LoadReader
 	log       *slog.Logger
 	clock     *clock.Clock
 	failed    chan error
@@ -81,7 +81,7 @@
 	Source func(address string, d Dialer) dispatch.Source
 	// Callers and Backends are the headers spoken there.
 	Callers  front.Dialect
-	Backends backend.Dialect
+	Backends backend.HeaderConfig
 }
 
 type options struct {
@@ -106,9 +106,9 @@
 // WithLogger sets where events are logged.
 func WithLogger(l *slog.Logger) Option { return func(o *options) { o.log = l } }
 
-// WithOwners has the product's own interface served by the owners of backend servers that
+// WithDispatcher has the product's own interface served by the owners of backend servers that
 // serve operators' platforms, in place of owners of pools.
-func WithOwners() Option { return func(o *options) { o.owners = true } }
+func WithDispatcher() Option { return func(o *options) { o.owners = true } }
 
 // WithClock sets the clock by which the router's beliefs age and its deadlines end.
 func WithClock(c *clock.Clock) Option { return func(o *options) { o.clock = c } }
@@ -171,7 +171,7 @@
 	n.burn = burn.New(s.Name, s.Objectives)
 	inc := uint64(o.wall().UnixNano())
 	backendOpts := []backend.Option{
-		backend.WithDialer(o.dialer), backend.WithIdle(s.Backends.Idle), backend.WithMaxAnswer(s.Backends.MaxAnswerBytes), backend.WithClock(n.clock),
+		backend.WithDialer(o.dialer), backend.WithIdleTimeout(s.Backends.Idle), backend.WithMaxResponse(s.Backends.MaxAnswerBytes), backend.WithClock(n.clock),
 	}
 	frontOpts := []front.Option{
 		front.WithCallers(callersOf(s)), front.WithTLS(t.callers), front.WithLogger(n.log),
@@ -194,7 +194,7 @@
 		n.startDispatcher(s, o, t, p, inc)
 		d := n.Dispatch
 		n.core, scheduler, source = d, d, d
-		backendOpts = append(backendOpts, backend.WithDialect(p.Backends))
+		backendOpts = append(backendOpts, backend.WithHeaders(p.Backends))
 		frontOpts = append(frontOpts, front.WithDialect(p.Callers), front.WithRoutesOnly(), front.WithForwarder(n.forwarder))
 	}
 	n.backend = backend.New(backendOpts...)
@@ -228,7 +228,7 @@
 	id := dispatch.Identity{Name: s.Name, Address: n.ls.peers.Addr().String(), Zone: s.Zone, Inc: inc, Capacity: s.Machine.Processors, Listens: n.ls.addresses()}
 	n.Peers = peer.New(id.Name, id.Zone, id.Inc, n.ls.peers, append(n.peerOptions(o, t), peer.WithAddress(id.Address))...)
 	n.Platform = platform.New(s.Platform, platform.WithTransport(&http.Transport{DialContext: o.dialer.DialContext}))
-	n.loads = backend.NewLoads(o.dialer)
+	n.loads = backend.NewLoadReader(o.dialer)
 	n.Dispatch = dispatch.New(id, values.New(n.Platform), n.Peers,
 		dispatch.WithLogger(n.log), dispatch.WithSeeds(s.Seeds), dispatch.WithApplyWithin(s.ApplyWithin),
 		dispatch.WithRule(ruleOf(s.Retries)), dispatch.WithClock(n.clock), dispatch.WithWeights(), dispatch.WithLoads(n.loads))
@@ -257,7 +257,7 @@
 	id := router.Identity{Name: s.Name, Zone: s.Zone, Inc: inc}
 	n.Peers = peer.New(id.Name, id.Zone, id.Inc, n.ls.peers, n.peerOptions(o, t)...)
 	n.Platform = platform.New(s.Platform, platform.WithTransport(&http.Transport{DialContext: o.dialer.DialContext}))
-	n.loads = backend.NewLoads(o.dialer)
+	n.loads = backend.NewLoadReader(o.dialer)
 	opts := append([]router.Option{router.WithLogger(n.log), router.WithObserver(n.metrics)}, o.router...)
 	n.Router = router.New(id, n.Peers, n.Platform, n.loads, opts...)
 }
@@ -276,9 +276,9 @@
 		"peers", ls.peers.Addr().String(), "admin", ls.admin.Addr().String())
 }
 
-// Listening returns where the router listens, with the ports that a 0 in the
+// ListenAddresses returns where the router listens, with the ports that a 0 in the
 // settings was given.
-func (n *Node) Listening() config.Listen {
+func (n *Node) ListenAddresses() config.Listen {
 	l := config.Listen{
 		Callers: n.ls.callers.Addr().String(), Peers: n.ls.peers.Addr().String(), Admin: n.ls.admin.Addr().String(),
 	}
--- a/internal/node/work.go
+++ b/internal/node/work.go
@@ -20,10 +20,10 @@
 }
 
 func (n *Node) workNow() work {
-	passed, p := n.backend.Passed(), n.Peers.Counters()
+	passed, p := n.backend.Stats(), n.Peers.Counters()
 	return work{
 		processor: processorTime(), requests: n.Front.Requests(), screened: n.Dispatch.Pace().Screened,
-		events: passed.Events, sends: passed.Sends, messages: p.MessagesIn.Load() + p.MessagesOut.Load(),
+		events: passed.Events, sends: passed.Flushes, messages: p.MessagesIn.Load() + p.MessagesOut.Load(),
 	}
 }
 
--- a/pkg/admit/order.go
+++ b/pkg/admit/order.go
@@ -64,7 +64,7 @@
 	least := leastWeight(len(sv.servers))
 	all := make([]weighed, 0, min(len(sv.servers), 2*mostInOrder))
 	for _, s := range sv.servers {
-		if weight := rendezvous.WeightOf(prefix, s.Name); weight >= least {
+		if weight := rendezvous.WeightHashed(prefix, s.Name); weight >= least {
 			all = append(all, weighed{s, weight})
 		}
 	}
--- a/pkg/admit/weights.go
+++ b/pkg/admit/weights.go
@@ -184,7 +184,7 @@
 		u.untold = u.untold[1:]
 	}
 	a := w.queue(k.service).Get(nameOf(k.account))
-	return a.Virtual + float64(int64(len(u.untold))*u.cost())/a.Weight
+	return a.VirtualTime + float64(int64(len(u.untold))*u.cost())/a.Weight
 }
 
 // told takes in what another source tells of what it has served.
--- a/pkg/fair/fair.go
+++ b/pkg/fair/fair.go
@@ -10,8 +10,8 @@
 	Name string
 	// Weight is above zero.
 	Weight float64
-	// Virtual is the service charged divided by the weight, plus lifts.
-	Virtual float64
+	// VirtualTime is the service charged divided by the weight, plus lifts.
+	VirtualTime float64
 	// Active says that the account has work waiting; index is then its
 	// place in the heap, and -1 otherwise.
 	Active bool
@@ -53,7 +53,7 @@
 func (q *Queue) Get(name string) *Account {
 	a, ok := q.accounts[name]
 	if !ok {
-		a = &Account{Name: name, Weight: 1, Virtual: q.floor, index: -1}
+		a = &Account{Name: name, Weight: 1, VirtualTime: q.floor, index: -1}
 		q.accounts[name] = a
 	}
 	return a
@@ -76,7 +76,7 @@
 		return
 	}
 	if lift {
-		a.Virtual = min(max(a.Virtual, q.Least()), q.Least()+q.debt)
+		a.VirtualTime = min(max(a.VirtualTime, q.MinVirtualTime()), q.MinVirtualTime()+q.debt)
 	}
 	a.Active = true
 	heap.Push(&q.heap, a)
@@ -88,7 +88,7 @@
 	if !ok || !a.Active {
 		return
 	}
-	q.Least()
+	q.MinVirtualTime()
 	a.Active = false
 	heap.Remove(&q.heap, a.index)
 }
@@ -96,17 +96,17 @@
 // Charge adds tokens, possibly negative, to an account's service.
 func (q *Queue) Charge(name string, tokens float64) {
 	a := q.Get(name)
-	a.Virtual += tokens / a.Weight
+	a.VirtualTime += tokens / a.Weight
 	if a.Active {
 		heap.Fix(&q.heap, a.index)
 	}
 }
 
-// Least returns the least virtual time of the active accounts, or the last
+// MinVirtualTime returns the least virtual time of the active accounts, or the last
 // such value if none is active.
-func (q *Queue) Least() float64 {
-	if len(q.heap) > 0 && q.heap[0].Virtual > q.floor {
-		q.floor = q.heap[0].Virtual
+func (q *Queue) MinVirtualTime() float64 {
+	if len(q.heap) > 0 && q.heap[0].VirtualTime > q.floor {
+		q.floor = q.heap[0].VirtualTime
 	}
 	return q.floor
 }
@@ -135,8 +135,8 @@
 func (o order) Len() int { return len(o) }
 
 func (o order) Less(i, j int) bool {
-	if o[i].Virtual != o[j].Virtual {
-		return o[i].Virtual < o[j].Virtual
+	if o[i].VirtualTime != o[j].VirtualTime {
+		return o[i].VirtualTime < o[j].VirtualTime
 	}
 	return o[i].Name < o[j].Name
 }
--- a/pkg/pool/share.go
+++ b/pkg/pool/share.go
@@ -115,7 +115,7 @@
 // zones gave it since their last shares.
 func (o *Owner) sure(a *account) float64 {
 	q := o.queue.Get(a.name)
-	return q.Virtual - o.guessed(a)/q.Weight
+	return q.VirtualTime - o.guessed(a)/q.Weight
 }
 
 // guessed returns the tokens that charge added for other zones since their
@@ -254,7 +254,7 @@
 // and once more those that stopped changing.
 func (o *Owner) servedNews() []wire.Served {
 	var served []wire.Served
-	least := o.queue.Least()
+	least := o.queue.MinVirtualTime()
 	for _, name := range sorted(o.accounts) {
 		a := o.accounts[name]
 		if a.changed || a.sent || o.queue.Get(name).Active {
--- a/pkg/pool/status.go
+++ b/pkg/pool/status.go
@@ -39,7 +39,7 @@
 			n += c.count()
 		}
 		all = append(all, AccountStatus{
-			Account: name, Virtual: o.queue.Get(name).Virtual, Charged: a.own, Waiting: n, Estimate: o.estimate(a),
+			Account: name, Virtual: o.queue.Get(name).VirtualTime, Charged: a.own, Waiting: n, Estimate: o.estimate(a),
 		})
 	}
 	return all
--- a/pkg/rendezvous/rendezvous.go
+++ b/pkg/rendezvous/rendezvous.go
@@ -55,8 +55,8 @@
 	return kept
 }
 
-// WeightOf returns the weight of a member for a key that is a hash itself.
-func WeightOf(key uint64, member string) uint64 {
+// WeightHashed returns the weight of a member for a key that is a hash itself.
+func WeightHashed(key uint64, member string) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(key)
 	_, _ = d.WriteString(member)
