--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -170,7 +170,7 @@
 }
 
 func (e spend) apply(s *state) {
-	routers := s.roster.Lately(s.now, s.rule.Window)
+	routers := s.roster.CountRecent(s.now, s.rule.Window)
 	e.answer <- s.allowance.Spend(s.now, e.service, routers)
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -30,10 +30,10 @@
 // Source is the platform as a router reads it.
 type Source interface {
 	// Read reads everything as it is now.
-	Read(ctx context.Context) (catalog.News, error)
+	Read(ctx context.Context) (catalog.Update, error)
 	// Watch waits for changes after a revision. Its error is
-	// catalog.ErrForgotten if the platform does not remember them.
-	Watch(ctx context.Context, after catalog.Revision, wait time.Duration) (catalog.News, error)
+	// catalog.ErrCompacted if the platform does not remember them.
+	Watch(ctx context.Context, after catalog.Revision, wait time.Duration) (catalog.Update, error)
 	// Revision returns the platform's revision as it is now.
 	Revision(ctx context.Context) (catalog.Revision, error)
 }
--- a/internal/dispatch/epoch.go
+++ b/internal/dispatch/epoch.go
@@ -36,5 +36,5 @@
 		return nil
 	}
 	asOf := s.catalog.AsOf()
-	return &wire.News{News: catalog.News{Epoch: asOf.Epoch, After: asOf.Number, AsOf: asOf.Number, Retained: kept}}
+	return &wire.News{Update: catalog.Update{Epoch: asOf.Epoch, After: asOf.Number, AsOf: asOf.Number, Retained: kept}}
 }
--- a/internal/dispatch/fleet_model_test.go
+++ b/internal/dispatch/fleet_model_test.go
@@ -56,7 +56,7 @@
 // know the table and ten backend servers each.
 func newFleetModel(routers int, within time.Duration) *fleetModel {
 	f := &fleetModel{now: clockStart, routers: map[string]*modelRouter{}, underWay: map[time.Duration][]modelMessage{}}
-	news := catalog.News{AsOf: 5, Table: &table.Table{Revision: 1}}
+	news := catalog.Update{AsOf: 5, Table: &table.Table{Revision: 1}}
 	for i := range 10 * routers {
 		news.Servers = append(news.Servers, catalog.Server{Revision: 2, Backend: table.Backend{
 			Name: fmt.Sprintf("i-%d", i), Zone: fmt.Sprint("z", i%3), Models: []string{"reader"}, Slots: 8, Mark: table.Serving,
@@ -69,7 +69,7 @@
 		d := New(id, noSource{}, r, WithSeeds([]string{address(0), address(1), address(2)}), WithApplyWithin(within), WithLogger(slog.New(slog.DiscardHandler)))
 		r.state = newState(d)
 		r.state.now = f.now
-		heard{News: news}.apply(r.state)
+		heard{Update: news}.apply(r.state)
 		f.routers[r.address] = r
 		f.order = append(f.order, r.address)
 	}
--- a/internal/dispatch/follow.go
+++ b/internal/dispatch/follow.go
@@ -82,14 +82,14 @@
 		}
 		wait.Reset()
 		if !n.Empty() || len(n.Skipped) > 0 {
-			d.post(heard{News: n})
+			d.post(heard{Update: n})
 			d.pause(time.Duration(watchPause * float64(d.shared.applyWithin.Load())))
 		}
 	}
 }
 
 // read reads everything that is published.
-func (d *Dispatcher) read() (catalog.News, error) {
+func (d *Dispatcher) read() (catalog.Update, error) {
 	known := d.asOf()
 	n, err := d.source.Read(d.ctx)
 	if err == nil {
@@ -102,14 +102,14 @@
 var errEpochEnded = errors.New("dispatch: the platform came back from a copy")
 
 // watchOnce waits for changes after a revision, and reads everything if they are forgotten.
-func (d *Dispatcher) watchOnce(asOf catalog.Revision) (catalog.News, error) {
+func (d *Dispatcher) watchOnce(asOf catalog.Revision) (catalog.Update, error) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	defer cancel()
 	d.shared.endWatch.Store(&cancel)
 	n, err := d.source.Watch(ctx, asOf, watchFor)
 	d.shared.endWatch.Store(nil)
 	switch {
-	case errors.Is(err, catalog.ErrForgotten):
+	case errors.Is(err, catalog.ErrCompacted):
 		return d.read()
 	case err != nil && d.asOf().Epoch != asOf.Epoch:
 		return n, errEpochEnded
@@ -212,7 +212,7 @@
 		return err
 	}
 	applied := make(chan struct{})
-	if d.post(heard{News: n, at: begun, applied: applied}) {
+	if d.post(heard{Update: n, at: begun, applied: applied}) {
 		select {
 		case <-applied:
 		case <-d.ctx.Done():
@@ -245,7 +245,7 @@
 
 // heard is news of the platform, read by this router or told by another.
 type heard struct {
-	catalog.News
+	catalog.Update
 	// from is the name of the router that told them, sender its address; ""
 	// if read here.
 	from, sender string
@@ -260,8 +260,8 @@
 		defer close(e.applied)
 	}
 	before := s.catalog.AsOf()
-	changed := s.catalog.Merge(s.now, e.News)
-	s.logUnusable(&e.News, e.from)
+	changed := s.catalog.Merge(s.now, e.Update)
+	s.logUnusable(&e.Update, e.from)
 	s.logOlder(&e)
 	asOf := s.catalog.AsOf()
 	s.d.shared.asOf.Store(&asOf)
--- a/internal/dispatch/members.go
+++ b/internal/dispatch/members.go
@@ -31,11 +31,11 @@
 // changed.
 func (s *state) membersChanged() {
 	s.membersAt, s.membersDue = s.now, false
-	s.talk = s.roster.Talk(s.now)
+	s.talk = s.roster.Plan(s.now)
 	s.noteRoster()
 	s.takeTurn()
 	var routers []admit.Router
-	for _, address := range s.roster.Staying(s.now) {
+	for _, address := range s.roster.Active(s.now) {
 		if m, ok := s.roster.Get(address); ok {
 			routers = append(routers, admit.Router{Address: address, Zone: m.Zone, Capacity: m.Capacity})
 		}
@@ -79,7 +79,7 @@
 
 // takeTurn finds this router's place among those that read the platform.
 func (s *state) takeTurn() {
-	staying := s.roster.Staying(s.now)
+	staying := s.roster.Active(s.now)
 	turn := 0
 	if s.d.Draining() {
 		turn = len(staying) + watchers
--- a/internal/dispatch/news_test.go
+++ b/internal/dispatch/news_test.go
@@ -17,9 +17,9 @@
 	n := &sentNet{}
 	s := newState(New(Identity{Name: "a", Address: "10.0.1.1:7", Zone: "x", Inc: 1}, noSource{}, n))
 	s.now = time.Hour
-	publish := func(asOf uint64, news catalog.News) {
+	publish := func(asOf uint64, news catalog.Update) {
 		news.AsOf = asOf
-		heard{News: news}.apply(s)
+		heard{Update: news}.apply(s)
 	}
 	ask := func(after uint64) *wire.News {
 		n.sent = nil
@@ -32,7 +32,7 @@
 		t.Fatal("no news")
 		return nil
 	}
-	publish(5, catalog.News{Table: &table.Table{Revision: 1}})
+	publish(5, catalog.Update{Table: &table.Table{Revision: 1}})
 	first := ask(0)
 	if second := ask(0); second != first {
 		t.Error("collected anew for the next one")
@@ -40,7 +40,7 @@
 	if m := ask(4); m != first {
 		t.Errorf("who may know of what went before this one knew anything is told a part: %+v", m)
 	}
-	publish(6, catalog.News{After: 5, Zones: []catalog.Zone{{Revision: 6, Name: "y", Closed: true}}})
+	publish(6, catalog.Update{After: 5, Zones: []catalog.Zone{{Revision: 6, Name: "y", Closed: true}}})
 	later := ask(0)
 	if later == first || later.AsOf != 6 || len(later.Zones) != 1 {
 		t.Errorf("after a change it tells %+v", later)
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -42,7 +42,7 @@
 
 func (e inbound) apply(s *state) {
 	member := roster.Member{Address: e.From, Name: e.Name, Zone: e.Zone, Inc: e.Inc}
-	if s.roster.Heard(s.now, member) {
+	if s.roster.Observe(s.now, member) {
 		s.d.opt.log.Info("member_heard", "peer", e.Name, "address", e.From, "zone", e.Zone, "incarnation", e.Inc)
 		if _, told := e.Msg.(*wire.Roster); !told {
 			s.tellRoster(e.From, true)
@@ -70,13 +70,13 @@
 	case *wire.NewsAsk:
 		s.d.net.Send(e.From, s.newsFor(m))
 	case *wire.News:
-		indexTables(&m.News)
-		heard{News: m.Checked(), from: e.Name, sender: e.From}.apply(s)
+		indexTables(&m.Update)
+		heard{Update: m.Checked(), from: e.Name, sender: e.From}.apply(s)
 	}
 }
 
 // indexTables makes the tables of received news ready to be searched.
-func indexTables(n *catalog.News) {
+func indexTables(n *catalog.Update) {
 	if n.Table != nil {
 		n.Table.Index()
 	}
@@ -102,9 +102,9 @@
 	}
 	l.stamp, l.stampAt = m.Stamp, s.now
 	if m.Leaving {
-		s.roster.Leaving(from.From)
+		s.roster.MarkLeaving(from.From)
 	}
-	if m.Roster != 0 && !s.roster.StandsBy(s.now, from.From, m.Roster) {
+	if m.Roster != 0 && !s.roster.ConfirmReport(s.now, from.From, m.Roster) {
 		s.askRoster(from.From)
 	}
 	if s.accepts(from, m.Scope) {
@@ -127,9 +127,9 @@
 	case wire.ScopeOwn:
 		return s.talk.Mesh || s.talk.Relay
 	case wire.ScopeZone:
-		return s.talk.Relay && from.From == s.roster.FirstRelay(s.now, from.Zone)
+		return s.talk.Relay && from.From == s.roster.PrimaryRelay(s.now, from.Zone)
 	case wire.ScopeRest:
-		return !s.talk.Mesh && !s.talk.Relay && from.From == s.roster.FirstRelay(s.now, s.d.id.Zone)
+		return !s.talk.Mesh && !s.talk.Relay && from.From == s.roster.PrimaryRelay(s.now, s.d.id.Zone)
 	default:
 		return true
 	}
@@ -151,11 +151,11 @@
 // routers would else hold 60 MB at 3,000 backend servers. The message is not changed any more.
 func (s *state) newsFor(ask *wire.NewsAsk) *wire.News {
 	asOf := s.catalog.AsOf()
-	if ask.Epoch == asOf.Epoch && s.catalog.Remembers(ask.After) {
-		return &wire.News{News: s.catalog.Since(ask.After)}
+	if ask.Epoch == asOf.Epoch && s.catalog.HasHistorySince(ask.After) {
+		return &wire.News{Update: s.catalog.Since(ask.After)}
 	}
 	if s.all.msg == nil || s.all.asOf != asOf || s.now-s.all.at >= allNewsFor {
-		s.all = allNews{msg: &wire.News{News: s.catalog.Since(0)}, asOf: asOf, at: s.now}
+		s.all = allNews{msg: &wire.News{Update: s.catalog.Since(0)}, asOf: asOf, at: s.now}
 	}
 	return s.all.msg
 }
@@ -190,13 +190,13 @@
 	if news.Empty() {
 		return
 	}
-	s.sendToAll(&wire.News{News: news}, sender)
+	s.sendToAll(&wire.News{Update: news}, sender)
 }
 
 // sendToAll sends a message, which is not changed any more, to all that this router talks
 // with but one, "" for none.
 func (s *state) sendToAll(msg any, but string) {
-	for _, list := range [][]string{s.talk.Members, s.talk.Served, s.talk.Others} {
+	for _, list := range [][]string{s.talk.Peers, s.talk.Served, s.talk.RemoteRelays} {
 		for _, to := range list {
 			if to != but {
 				s.d.net.Send(to, msg)
@@ -216,7 +216,7 @@
 	if !e.Refused {
 		return
 	}
-	s.roster.Gone(e.Peer)
+	s.roster.MarkDown(e.Peer)
 	s.step(admit.PeerGone{From: e.Peer})
 	s.heardOfMembers()
 }
@@ -229,23 +229,23 @@
 	s.toldAt = s.now
 	s.membersChanged()
 	t := s.core.Tell(s.now)
-	for _, to := range s.talk.Members {
+	for _, to := range s.talk.Peers {
 		s.tell(to, t, wire.ScopeOwn, t.Copies())
 	}
 	// Both relays of a zone hear all that its routers tell, so one passes it on.
 	served, servedCopies := wire.ScopeNone, t.Copies()
 	others, zoneCopies := wire.ScopeNone, t.Copies()
-	if s.talk.First {
+	if s.talk.Primary {
 		served, servedCopies = wire.ScopeRest, t.AllCopies()
 		others, zoneCopies = wire.ScopeZone, t.ZoneCopies()
 	}
 	for _, to := range s.talk.Served {
 		s.tell(to, t, served, servedCopies)
 	}
-	for _, to := range s.talk.Others {
+	for _, to := range s.talk.RemoteRelays {
 		s.tell(to, t, others, zoneCopies)
 	}
-	for _, to := range s.roster.Tries(s.now, s.talk) {
+	for _, to := range s.roster.NextProbes(s.now, s.talk) {
 		s.try(to)
 	}
 	s.roster.Forget(s.now)
@@ -270,7 +270,7 @@
 // gossip tells one router in turn whom this one knows, where there are no relays
 // to do so.
 func (s *state) gossip() {
-	all := s.talk.Members
+	all := s.talk.Peers
 	if !s.talk.Mesh || s.now-s.gossiped < gossipEvery || len(all) == 0 {
 		return
 	}
--- a/internal/dispatch/rosters.go
+++ b/internal/dispatch/rosters.go
@@ -17,7 +17,7 @@
 // noteRoster numbers what has changed in the roster, so that each router that it
 // is told to gets what is new to it only: at 300 routers a whole one takes 17 kB.
 func (s *state) noteRoster() {
-	list := s.roster.All(s.now)
+	list := s.roster.Members(s.now)
 	digest := roster.DigestOf(list)
 	if digest == s.digest {
 		return
@@ -61,7 +61,7 @@
 
 // sendRoster sends the entries of the roster that are to be in it.
 func (s *state) sendRoster(to string, m *wire.Roster, in func(address string) bool) {
-	for _, k := range s.roster.All(s.now) {
+	for _, k := range s.roster.Members(s.now) {
 		if in(k.Address) {
 			m.Entries = append(m.Entries, entryOf(k))
 		}
@@ -90,23 +90,23 @@
 	s.d.net.Send(of, &wire.Roster{Answer: true})
 }
 
-func entryOf(k roster.Known) wire.RosterEntry {
+func entryOf(k roster.MemberInfo) wire.RosterEntry {
 	return wire.RosterEntry{
 		Address: k.Address, Name: k.Name, Zone: k.Zone, Inc: k.Inc, Capacity: float32(k.Capacity),
-		Heard: k.Ago.Milliseconds(), Lives: k.Lives, Hears: k.Heard, Leaving: k.Leaving,
+		Heard: k.LastSeenAgo.Milliseconds(), Lives: k.Alive, Hears: k.Direct, Leaving: k.Leaving,
 	}
 }
 
 // learnRoster takes in whom another router knows.
 func (s *state) learnRoster(from string, m *wire.Roster) {
-	list := make([]roster.Known, 0, len(m.Entries))
+	list := make([]roster.MemberInfo, 0, len(m.Entries))
 	for _, e := range m.Entries {
-		list = append(list, roster.Known{
-			Member: roster.Member{Address: e.Address, Name: e.Name, Zone: e.Zone, Inc: e.Inc, Capacity: float64(e.Capacity)},
-			Ago:    time.Duration(e.Heard) * time.Millisecond, Lives: e.Lives, Heard: e.Hears, Leaving: e.Leaving,
+		list = append(list, roster.MemberInfo{
+			Member:      roster.Member{Address: e.Address, Name: e.Name, Zone: e.Zone, Inc: e.Inc, Capacity: float64(e.Capacity)},
+			LastSeenAgo: time.Duration(e.Heard) * time.Millisecond, Alive: e.Lives, Direct: e.Hears, Leaving: e.Leaving,
 		})
 	}
-	if len(m.Entries) > 0 && !s.roster.Learn(s.now, from, roster.Report{Digest: m.Digest, Base: m.Base, List: list}) {
+	if len(m.Entries) > 0 && !s.roster.ApplyReport(s.now, from, roster.Report{Digest: m.Digest, Base: m.Base, Members: list}) {
 		s.askRoster(from)
 	}
 	s.succeed()
@@ -119,7 +119,7 @@
 // succeed takes a later incarnation if others know this router by one that is not before its
 // own, and so would not hear it.
 func (s *state) succeed() {
-	if inc := s.roster.Succeed(); inc > 0 {
+	if inc := s.roster.RaiseIncarnation(); inc > 0 {
 		s.d.opt.log.Warn("incarnation_raised", "incarnation", inc)
 		s.d.net.SetIncarnation(inc)
 	}
--- a/internal/dispatch/rosters_test.go
+++ b/internal/dispatch/rosters_test.go
@@ -32,10 +32,10 @@
 // noSource is a platform that is never read.
 type noSource struct{}
 
-func (noSource) Read(context.Context) (catalog.News, error)         { return catalog.News{}, nil }
+func (noSource) Read(context.Context) (catalog.Update, error)       { return catalog.Update{}, nil }
 func (noSource) Revision(context.Context) (catalog.Revision, error) { return catalog.Revision{}, nil }
-func (noSource) Watch(context.Context, catalog.Revision, time.Duration) (catalog.News, error) {
-	return catalog.News{}, nil
+func (noSource) Watch(context.Context, catalog.Revision, time.Duration) (catalog.Update, error) {
+	return catalog.Update{}, nil
 }
 
 // TestRosterIsToldOnceAndThenItsChanges has one of 50 routers start anew, and
@@ -47,7 +47,7 @@
 	s := newState(New(Identity{Name: "a", Address: "10.0.1.1:7", Zone: "x", Inc: 1}, noSource{}, n))
 	s.now = time.Hour
 	heard := func(inc uint64, number int) {
-		s.roster.Heard(s.now, roster.Member{Address: fmt.Sprintf("10.0.0.%d:7", number), Zone: "x", Inc: inc})
+		s.roster.Observe(s.now, roster.Member{Address: fmt.Sprintf("10.0.0.%d:7", number), Zone: "x", Inc: inc})
 	}
 	tell := func() *wire.Roster {
 		t.Helper()
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -35,7 +35,7 @@
 	// limitedAt is when there was no time for all last, 0 if never.
 	limitedAt time.Duration
 	// talk is whom this router tells what, digest that of its roster.
-	talk   roster.Talk
+	talk   roster.Plan
 	digest uint64
 	// changes counts the changes of the roster, changed is with which of them
 	// each router in it came to be told as it is.
@@ -53,7 +53,7 @@
 	// ending is the caller's id of the request whose attempt's end is taken in now.
 	ending string
 	// cleared counts ends of requests that are not remembered any more, by the reason.
-	cleared map[suspect.Why]int64
+	cleared map[suspect.Reason]int64
 	// suspectsAt is when a router was last told of all suspects, suspectsTo how many
 	// were.
 	suspectsAt time.Duration
@@ -101,12 +101,12 @@
 		keys:      newKeys(d.id.Address, now, d.opt.wall()),
 		served:    map[uint64]*atomic.Int64{},
 		loads:     map[string]context.CancelFunc{},
-		cleared:   map[suspect.Why]int64{},
+		cleared:   map[suspect.Reason]int64{},
 		pace:      admit.NewPace(d.id.Capacity),
 		waiting:   map[uint64]*attempt{},
 	}
 	part := func(p float64) time.Duration { return time.Duration(p * float64(d.opt.applyWithin)) }
-	s.catalog = catalog.New(catalog.WithKeep(part(keepPart)), catalog.WithMissing(part(missingPart)), catalog.WithOwn(s.isOwn))
+	s.catalog = catalog.New(catalog.WithRemovalGrace(part(keepPart)), catalog.WithUnlistedGrace(part(missingPart)), catalog.WithOwnAddress(s.isOwn))
 	return s
 }
 
@@ -135,7 +135,7 @@
 
 // stoodStill takes in that this router did nothing since a moment.
 func (s *state) stoodStill(from time.Duration) {
-	s.roster.Paused(from, s.now)
+	s.roster.RecordPause(from, s.now)
 	if s.now-from >= vouchesUpTo {
 		s.keys.homes.Woke(s.now + s.keys.wall)
 	}
@@ -165,7 +165,7 @@
 type ticked struct{}
 
 func (ticked) apply(s *state) {
-	s.catalog.Verified(time.Duration(s.d.shared.verified.Load()))
+	s.catalog.MarkVerified(time.Duration(s.d.shared.verified.Load()))
 	if s.catalog.Refresh(s.now) {
 		s.inForce("")
 	}
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -45,7 +45,7 @@
 	SuspectCount int       `json:"suspect_count"`
 	// EndsCleared counts ends of requests that are not remembered any more, by the reason:
 	// the request ran, the backend server lives, they were old, or there was no room.
-	EndsCleared map[suspect.Why]int64 `json:"ends_cleared,omitempty"`
+	EndsCleared map[suspect.Reason]int64 `json:"ends_cleared,omitempty"`
 	// ClosedZones are the availability zones that operators have closed, Warming how
 	// many backend servers warm up.
 	ClosedZones []string `json:"closed_zones"`
@@ -81,7 +81,7 @@
 		ClosedZones: s.closed, Warming: s.core.Warming(), SuspendedMillis: s.suspended.Milliseconds(),
 	}
 	st.Unusable, st.UnusableCount = s.unusableEntries()
-	st.Damaged = s.catalog.Damaged()
+	st.Damaged = s.catalog.UnusableTotals()
 	st.Untrusted = slices.Sorted(maps.Keys(s.untrusted))
 	s.publishWords(st)
 	st.Suspects, st.SuspectCount = s.suspects()
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -23,7 +23,7 @@
 	for _, m := range s.core.TellSuspects(s.now, s.talk.Relay) {
 		s.sendToAll(m, "")
 	}
-	if all := s.talk.Members; count > 0 && len(all) > 0 && s.now-s.suspectsAt >= allSuspectsEvery {
+	if all := s.talk.Peers; count > 0 && len(all) > 0 && s.now-s.suspectsAt >= allSuspectsEvery {
 		s.suspectsAt = s.now
 		s.suspectsTo++
 		s.tellAllSuspects(all[s.suspectsTo%len(all)])
@@ -50,9 +50,9 @@
 // noteCleared counts ends of a request that are not remembered any more, and logs them
 // where there were several: one is what each request has that was there at an end.
 func (s *state) noteCleared(a admit.Cleared) {
-	s.cleared[a.Why] += int64(a.Ends)
-	if a.Ends > 1 {
-		s.d.opt.log.Info("request_cleared", "digest", digestText(a.Digest), "ends", a.Ends, "reason", string(a.Why))
+	s.cleared[a.Reason] += int64(a.Crashes)
+	if a.Crashes > 1 {
+		s.d.opt.log.Info("request_cleared", "digest", digestText(a.Digest), "ends", a.Crashes, "reason", string(a.Reason))
 	}
 }
 
--- a/internal/dispatch/suspects_test.go
+++ b/internal/dispatch/suspects_test.go
@@ -18,17 +18,17 @@
 // oneServer is a platform with a backend server of one slot.
 type oneServer struct{}
 
-func (oneServer) Read(context.Context) (catalog.News, error) {
+func (oneServer) Read(context.Context) (catalog.Update, error) {
 	t := &table.Table{Revision: 1, Services: []table.ServiceRow{{Name: "reader", Engine: true}}}
 	t.Index()
-	return catalog.News{AsOf: 5, Table: t, Servers: []catalog.Server{
+	return catalog.Update{AsOf: 5, Table: t, Servers: []catalog.Server{
 		{Revision: 2, Backend: table.Backend{Name: "i-0", Zone: "a", Address: "10.0.0.1:80", Models: []string{"reader"}, Slots: 1, Mark: table.Serving}},
 	}}, nil
 }
 
-func (oneServer) Watch(ctx context.Context, _ catalog.Revision, _ time.Duration) (catalog.News, error) {
+func (oneServer) Watch(ctx context.Context, _ catalog.Revision, _ time.Duration) (catalog.Update, error) {
 	<-ctx.Done()
-	return catalog.News{}, ctx.Err()
+	return catalog.Update{}, ctx.Err()
 }
 
 func (oneServer) Revision(context.Context) (catalog.Revision, error) {
--- a/internal/dispatch/unusable.go
+++ b/internal/dispatch/unusable.go
@@ -33,14 +33,14 @@
 }
 
 // logUnusable logs what news held that cannot be used, and why.
-func (s *state) logUnusable(n *catalog.News, from string) {
+func (s *state) logUnusable(n *catalog.Update, from string) {
 	for _, x := range n.Skipped {
 		if x.Key == "" || !s.unusable.may(s.now) {
 			continue
 		}
 		s.d.opt.log.Warn("published_unusable", "key", x.Key, "revision", x.Revision, "reason", string(x.Unusable.Reason), "field", x.Unusable.Field)
 	}
-	for _, e := range s.catalog.Noted() {
+	for _, e := range s.catalog.DrainUnusable() {
 		if s.unusable.may(s.now) {
 			s.d.opt.log.Warn("entry_unusable", "backend", e.Backend.Name, "revision", e.Revision,
 				"reason", string(e.Unusable.Reason), "field", e.Unusable.Field, "from", from)
@@ -50,7 +50,7 @@
 }
 
 // noteLack keeps why a router that has no table yet has none.
-func (s *state) noteLack(n *catalog.News) {
+func (s *state) noteLack(n *catalog.Update) {
 	if s.catalog.View() != nil {
 		s.d.shared.lack.Store(nil)
 		return
--- a/internal/dispatch/unusable_test.go
+++ b/internal/dispatch/unusable_test.go
@@ -21,11 +21,11 @@
 	d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Inc: 1}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.NewTextHandler(&log, nil))))
 	s := newState(d)
 	good := catalog.Server{Revision: 2, Backend: table.Backend{Name: "good", Zone: "a", Address: "10.0.0.9:80", Models: []string{"reader"}, Slots: 8, Mark: table.Serving}}
-	heard{News: catalog.News{AsOf: 2, Table: &table.Table{Revision: 1}, Servers: []catalog.Server{good}}}.apply(s)
+	heard{Update: catalog.Update{AsOf: 2, Table: &table.Table{Revision: 1}, Servers: []catalog.Server{good}}}.apply(s)
 	for i := range perSecond * seconds {
 		s.now += time.Second / perSecond
 		bad := catalog.Server{Revision: uint64(3 + i), Unusable: catalog.Unusable{Reason: catalog.WrongType, Field: "slots"}, Backend: table.Backend{Name: "bad"}}
-		heard{News: catalog.News{After: uint64(2 + i), AsOf: uint64(3 + i), Servers: []catalog.Server{bad}}}.apply(s)
+		heard{Update: catalog.Update{After: uint64(2 + i), AsOf: uint64(3 + i), Servers: []catalog.Server{bad}}}.apply(s)
 	}
 	lines := strings.Count(log.String(), "msg=entry_unusable")
 	if lines < seconds || lines > unusableLines*(seconds+1) {
@@ -35,8 +35,8 @@
 		t.Error("no line has the entry, its revision and the reason")
 	}
 	list, count := s.unusableEntries()
-	if count != 1 || len(list) != 1 || list[0] != (Entry{"bad", "wrong-type", "slots"}) || s.catalog.Damaged()["wrong-type"] != perSecond*seconds {
-		t.Errorf("%v of %d, counted %v", list, count, s.catalog.Damaged())
+	if count != 1 || len(list) != 1 || list[0] != (Entry{"bad", "wrong-type", "slots"}) || s.catalog.UnusableTotals()["wrong-type"] != perSecond*seconds {
+		t.Errorf("%v of %d, counted %v", list, count, s.catalog.UnusableTotals())
 	}
 	if b, ok := d.Table().Backend("good"); !ok || b.Mark != table.Serving || s.catalog.AsOf().Number != 2+perSecond*seconds {
 		t.Errorf("the good entry is %+v as of %d", b, s.catalog.AsOf().Number)
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Inc: 1, Listens: []string{"10.0.0.1:8000", "10.0.0.1:7"}}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.DiscardHandler)))
 			s := newState(d)
-			s.roster.Heard(s.now, roster.Member{Address: "10.0.0.2:7", Name: "q", Zone: "a", Inc: 1})
+			s.roster.Observe(s.now, roster.Member{Address: "10.0.0.2:7", Name: "q", Zone: "a", Inc: 1})
 			if got := s.isOwn(tc.address); got != tc.want {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
@@ -73,12 +73,12 @@
 	d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Inc: 1}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.DiscardHandler)))
 	s := newState(d)
 	skipped := catalog.Skipped{Key: "config", Revision: 4, Unusable: catalog.Unusable{Reason: catalog.Unreadable, Field: "unexpected end"}}
-	heard{News: catalog.News{AsOf: 4, Skipped: []catalog.Skipped{skipped}}}.apply(s)
+	heard{Update: catalog.Update{AsOf: 4, Skipped: []catalog.Skipped{skipped}}}.apply(s)
 	err := d.Ready(t.Context())
 	if err == nil || !strings.Contains(fmt.Sprint(err), "config at revision 4 cannot be used") {
 		t.Errorf("not ready because of %v", err)
 	}
-	heard{News: catalog.News{After: 4, AsOf: 5, Table: &table.Table{Revision: 5}}}.apply(s)
+	heard{Update: catalog.Update{After: 4, AsOf: 5, Table: &table.Table{Revision: 5}}}.apply(s)
 	if err := d.Ready(t.Context()); err != nil {
 		t.Error(err)
 	}
--- a/internal/dispatch/verified.go
+++ b/internal/dispatch/verified.go
@@ -18,8 +18,8 @@
 	before := time.Duration(s.d.shared.verified.Load())
 	at := m.Echo.At() + time.Duration(m.Held-m.Age)*time.Millisecond
 	s.d.verifiedAt(at)
-	if at-before >= freshBy && s.talk.Relay && from.Zone == s.d.id.Zone && !slices.Contains(s.talk.Members, from.From) {
-		s.tellVerified(s.talk.Others)
+	if at-before >= freshBy && s.talk.Relay && from.Zone == s.d.id.Zone && !slices.Contains(s.talk.Peers, from.From) {
+		s.tellVerified(s.talk.RemoteRelays)
 	}
 }
 
@@ -30,8 +30,8 @@
 	if s.talk.Mesh {
 		return
 	}
-	s.tellVerified(s.talk.Members)
-	s.tellVerified(s.talk.Others)
+	s.tellVerified(s.talk.Peers)
+	s.tellVerified(s.talk.RemoteRelays)
 }
 
 // tellVerified tells some routers at once how long ago this one knew what is newest.
@@ -48,7 +48,7 @@
 
 // tellKnown tells all with whom this router talks how much it knows.
 func (s *state) tellKnown() {
-	for _, list := range [][]string{s.talk.Members, s.talk.Served, s.talk.Others} {
+	for _, list := range [][]string{s.talk.Peers, s.talk.Served, s.talk.RemoteRelays} {
 		s.tellVerified(list)
 	}
 }
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -350,9 +350,9 @@
 		r.d.verifiedAt(now)
 		r.step(verifiedHere{})
 	case due:
-		r.step(heard{News: catalog.News{AsOf: w.shown, Table: w.tableAt(w.shown)}, at: now})
+		r.step(heard{Update: catalog.Update{AsOf: w.shown, Table: w.tableAt(w.shown)}, at: now})
 	case watches && w.shown > asOf:
-		r.step(heard{News: catalog.News{After: asOf, AsOf: w.shown, Table: w.tableAt(w.shown)}})
+		r.step(heard{Update: catalog.Update{After: asOf, AsOf: w.shown, Table: w.tableAt(w.shown)}})
 	}
 }
 
--- a/internal/values/source.go
+++ b/internal/values/source.go
@@ -49,22 +49,22 @@
 func New(c Client) *Source { return &Source{client: c, kept: map[string]platform.Value{}} }
 
 // Read returns the table as it is now.
-func (s *Source) Read(ctx context.Context) (catalog.News, error) {
+func (s *Source) Read(ctx context.Context) (catalog.Update, error) {
 	v, ok, err := s.client.Newer(ctx, TableName, 0)
 	if err != nil || !ok {
-		return catalog.News{}, err
+		return catalog.Update{}, err
 	}
 	return s.news(ctx, 0, v)
 }
 
 // Watch waits for a version of the table after a revision.
-func (s *Source) Watch(ctx context.Context, after catalog.Revision, _ time.Duration) (catalog.News, error) {
+func (s *Source) Watch(ctx context.Context, after catalog.Revision, _ time.Duration) (catalog.Update, error) {
 	v, ok, err := s.client.Watch(ctx, TableName, after.Number)
 	if err != nil {
-		return catalog.News{}, err
+		return catalog.Update{}, err
 	}
 	if !ok || v.Revision <= after.Number {
-		return catalog.News{After: after.Number, AsOf: after.Number}, nil
+		return catalog.Update{After: after.Number, AsOf: after.Number}, nil
 	}
 	return s.news(ctx, after.Number, v)
 }
@@ -91,12 +91,12 @@
 
 // news turns the table's value into news. A table with errors stays out of force, and the
 // news say why; only a page that could not be read as listed is an error.
-func (s *Source) news(ctx context.Context, after uint64, v platform.Value) (catalog.News, error) {
-	n := catalog.News{After: after, AsOf: v.Revision}
+func (s *Source) news(ctx context.Context, after uint64, v platform.Value) (catalog.Update, error) {
+	n := catalog.Update{After: after, AsOf: v.Revision}
 	t, err := s.parse(ctx, v)
 	switch {
 	case errors.Is(err, errPagesAhead):
-		return catalog.News{}, err
+		return catalog.Update{}, err
 	case err != nil:
 		n.Skipped = []catalog.Skipped{{Key: TableName, Revision: v.Revision, Unusable: catalog.Unusable{Reason: catalog.BadValue, Field: err.Error()}}}
 	default:
--- a/pkg/admit/alive.go
+++ b/pkg/admit/alive.go
@@ -35,7 +35,7 @@
 	s.heard = c.now
 	if c.opt.uniqueStarts && s.Born == 0 {
 		s.alive = span{to: max(s.alive.to, sent)}
-		c.suspects.Lives(suspect.Server(s.key), s.alive.from, s.alive.to)
+		c.suspects.MarkAlive(suspect.Server(s.key), s.alive.from, s.alive.to)
 	}
 	now := span{from: sent + aliveMargin, to: c.now - aliveMargin - waysHeard*c.late}
 	if sent < c.stood.to {
@@ -49,5 +49,5 @@
 		now = span{from: min(now.from, s.alive.from), to: max(now.to, s.alive.to)}
 	}
 	s.alive = now
-	c.suspects.Lives(suspect.Server(s.key), now.from, now.to)
+	c.suspects.MarkAlive(suspect.Server(s.key), now.from, now.to)
 }
--- a/pkg/admit/caution.go
+++ b/pkg/admit/caution.go
@@ -53,13 +53,13 @@
 // of which another try has begun to answer since, has shown that it can be begun, and goes
 // on like any other after a first end: callers may poll with it.
 func (c *Core) caution(r *request) caution {
-	standing := c.suspects.Standing(c.now, r.Digest)
+	standing := c.suspects.Status(c.now, r.Digest)
 	switch {
-	case standing.Ends == 0:
+	case standing.Crashes == 0:
 		return noCaution
-	case standing.Ends > 1:
+	case standing.Crashes > 1:
 		return alone
-	case r.Answering || c.answers[r.Digest] > standing.Last:
+	case r.Answering || c.answers[r.Digest] > standing.LastCrash:
 		return noCaution
 	default:
 		return oneAtATime
@@ -69,8 +69,8 @@
 // endsRefusal is why a request is refused under which too many backend servers ended, nil
 // if it is not.
 func (c *Core) endsRefusal(r *request) *verdict.Error {
-	if standing := c.suspects.Standing(c.now, r.Digest); standing.Barred(c.now) {
-		return errEnds.After(standing.Until - c.now)
+	if standing := c.suspects.Status(c.now, r.Digest); standing.Blocked(c.now) {
+		return errEnds.After(standing.BlockedUntil - c.now)
 	}
 	return nil
 }
@@ -155,7 +155,7 @@
 		}
 	}
 	for d := range c.answers {
-		if c.suspects.Standing(c.now, d).Ends == 0 {
+		if c.suspects.Status(c.now, d).Crashes == 0 {
 			delete(c.answers, d)
 		}
 	}
--- a/pkg/admit/caution_test.go
+++ b/pkg/admit/caution_test.go
@@ -62,7 +62,7 @@
 					tc.disturb(w)
 				}
 				w.run(end)
-				if x.under[7] == 0 || x.under[7] > tc.most || tc.most == suspect.MostEnds && x.late > 0 {
+				if x.under[7] == 0 || x.under[7] > tc.most || tc.most == suspect.MaxCrashes && x.late > 0 {
 					t.Errorf("seed %d: %d servers ended, %d sends, %d of them late", seed, x.under[7], x.sends[7], x.late)
 				}
 				if x.barred > 0 {
@@ -89,7 +89,7 @@
 				early++
 			}
 		}
-		if x.under[7] < 2 || x.under[7] > max(suspect.MostEnds, early) {
+		if x.under[7] < 2 || x.under[7] > max(suspect.MaxCrashes, early) {
 			t.Errorf("seed %d: %d servers ended, %d tries were under way before the first end", seed, x.under[7], early)
 		}
 	}
@@ -364,7 +364,7 @@
 		if x.barred > 0 || served < 300 {
 			t.Errorf("seed %d: %d are refused for ends of servers, %d served once these are past; %d ended under the deadly one", seed, x.barred, served, x.under[7])
 		}
-		if x.under[7] > suspect.MostEnds+2 {
+		if x.under[7] > suspect.MaxCrashes+2 {
 			t.Errorf("seed %d: %d servers ended under the deadly request", seed, x.under[7])
 		}
 	}
--- a/pkg/admit/core.go
+++ b/pkg/admit/core.go
@@ -91,7 +91,7 @@
 	requests map[uint64]*request
 	// suspects are the requests that were under way at backend servers that ended,
 	// ownNews and heardNews what others are to be told of them.
-	suspects           *suspect.Table
+	suspects           *suspect.Tracker
 	ownNews, heardNews suspectNews
 	// trials are the requests under which servers ended and of which a try runs that has
 	// not begun to answer.
--- a/pkg/admit/crash_world_test.go
+++ b/pkg/admit/crash_world_test.go
@@ -72,7 +72,7 @@
 		return true
 	}
 	x.sends[d]++
-	if x.under[d] >= suspect.MostEnds {
+	if x.under[d] >= suspect.MaxCrashes {
 		x.late++
 	}
 	x.w.at(delay, func() {
--- a/pkg/admit/request.go
+++ b/pkg/admit/request.go
@@ -202,7 +202,7 @@
 func (c *Core) learnOfEnd(r *request, e End) {
 	switch {
 	case e.Cut:
-		c.noteEnd(r.at, suspect.End{Digest: e.Digest, At: c.now, Sent: r.started, Unanswered: r.unread > 0})
+		c.noteEnd(r.at, suspect.Crash{Digest: e.Digest, At: c.now, Sent: r.started, Unanswered: r.unread > 0})
 	case e.Result == Answered || e.Result == Failed || e.Result == Refused:
 		c.lives(r.at, r.started)
 	case e.Result == Silent || e.Result == Unknown:
@@ -278,7 +278,7 @@
 	c.forget(r)
 	a := Refuse{ID: r.ID, Err: err, Waited: c.now - r.arrived}
 	if err.Code == codeEnds || err.Code == codeTwin {
-		a.Ends = c.suspects.Standing(c.now, r.Digest).Ends
+		a.Ends = c.suspects.Status(c.now, r.Digest).Crashes
 	}
 	c.act(a)
 }
--- a/pkg/admit/silence.go
+++ b/pkg/admit/silence.go
@@ -54,7 +54,7 @@
 	}
 	for _, x := range s.silences {
 		if c.now-x.at < silenceKept && s.heard < x.sent {
-			c.noteEnd(s, suspect.End{Digest: x.digest, At: x.at, Sent: x.sent})
+			c.noteEnd(s, suspect.Crash{Digest: x.digest, At: x.at, Sent: x.sent})
 		}
 	}
 	s.silences = nil
--- a/pkg/admit/suspects.go
+++ b/pkg/admit/suspects.go
@@ -34,25 +34,25 @@
 
 // tellCleared says what has been forgotten of ends, or taken back.
 func (c *Core) tellCleared() {
-	for _, x := range c.suspects.Cleared() {
+	for _, x := range c.suspects.DrainCleared() {
 		c.act(Cleared{x})
 	}
 }
 
 // noteEnd takes in that a backend server ended while a request of this router was under way
 // there.
-func (c *Core) noteEnd(s *server, e suspect.End) {
+func (c *Core) noteEnd(s *server, e suspect.Crash) {
 	e.Server = suspect.Server(s.key)
-	if c.suspects.Note(c.now, e) {
-		c.act(Suspected{Digest: e.Digest, Backend: s.Name, Ends: c.suspects.Standing(c.now, e.Digest).Ends})
-		e.More = c.suspects.MoreOf(e.Digest)
+	if c.suspects.Record(c.now, e) {
+		c.act(Suspected{Digest: e.Digest, Backend: s.Name, Ends: c.suspects.Status(c.now, e.Digest).Crashes})
+		e.Extra = c.suspects.ExtraAllowed(e.Digest)
 		addBounded(&c.ownNews.ends, e)
 	}
 }
 
 // suspectNews is what other routers are to be told of ends.
 type suspectNews struct {
-	ends []suspect.End
+	ends []suspect.Crash
 	ran  []uint64
 	// begun, answers and over are requests of which a try runs, has begun to answer, or
 	// does not run any more.
@@ -72,7 +72,7 @@
 
 // ranWhole takes in that a request has run to its end.
 func (c *Core) ranWhole(d suspect.Digest) {
-	if c.suspects.Ran(c.now, d) {
+	if c.suspects.MarkCompleted(c.now, d) {
 		addBounded(&c.ownNews.ran, uint64(d))
 	}
 }
@@ -83,7 +83,7 @@
 		c.toldEnd(from, x)
 	}
 	for _, d := range m.Ran[:min(mostTold, len(m.Ran))] {
-		if c.suspects.Ran(c.now, suspect.Digest(d)) {
+		if c.suspects.MarkCompleted(c.now, suspect.Digest(d)) {
 			addBounded(&c.heardNews.ran, d)
 		}
 	}
@@ -95,9 +95,9 @@
 		return
 	}
 	at := c.now - time.Duration(x.AgoMillis)*time.Millisecond
-	e := suspect.End{
+	e := suspect.Crash{
 		Digest: suspect.Digest(x.Digest), Server: suspect.Server(x.Server), At: at, Sent: at - time.Duration(x.SentMillis)*time.Millisecond,
-		Unanswered: x.Unanswered, More: x.More,
+		Unanswered: x.Unanswered, Extra: x.More,
 	}
 	name := ""
 	if s, ok := c.servers[x.Server]; ok {
@@ -106,14 +106,14 @@
 			return
 		}
 	}
-	if c.suspects.Note(c.now, e) {
-		c.act(Suspected{Digest: e.Digest, Backend: name, Ends: c.suspects.Standing(c.now, e.Digest).Ends, From: from})
+	if c.suspects.Record(c.now, e) {
+		c.act(Suspected{Digest: e.Digest, Backend: name, Ends: c.suspects.Status(c.now, e.Digest).Crashes, From: from})
 		addBounded(&c.heardNews.ends, e)
 	}
 }
 
 // isAgo reports whether an end may be told of that was so long ago.
-func isAgo(millis int64) bool { return millis >= 0 && millis <= suspect.LongestKept.Milliseconds() }
+func isAgo(millis int64) bool { return millis >= 0 && millis <= suspect.MaxRetention.Milliseconds() }
 
 // HasSuspectNews reports whether other routers are to be told of something at once.
 func (c *Core) HasSuspectNews() bool { return !c.ownNews.empty() }
@@ -151,17 +151,17 @@
 // AllSuspects returns the worst of what is known of ends, for a router that has just been
 // heard or that may have missed something; nil if nothing is known.
 func (c *Core) AllSuspects(now time.Duration) *wire.Suspects {
-	worst := c.suspects.Worst(mostTold)
+	worst := c.suspects.TopCrashes(mostTold)
 	if len(worst) == 0 {
 		return nil
 	}
 	return &wire.Suspects{Ends: toTell(now, worst)}
 }
 
-func toTell(now time.Duration, ends []suspect.End) []wire.SuspectEnd {
+func toTell(now time.Duration, ends []suspect.Crash) []wire.SuspectEnd {
 	list := make([]wire.SuspectEnd, 0, len(ends))
 	for _, e := range ends {
-		list = append(list, wire.SuspectEnd{Digest: uint64(e.Digest), Server: wire.Key(e.Server), AgoMillis: (now - e.At).Milliseconds(), SentMillis: (e.At - e.Sent).Milliseconds(), Unanswered: e.Unanswered, More: e.More})
+		list = append(list, wire.SuspectEnd{Digest: uint64(e.Digest), Server: wire.Key(e.Server), AgoMillis: (now - e.At).Milliseconds(), SentMillis: (e.At - e.Sent).Milliseconds(), Unanswered: e.Unanswered, More: e.Extra})
 	}
 	return list
 }
@@ -170,4 +170,4 @@
 func (c *Core) SuspectCount() int { return c.suspects.Len() }
 
 // Suspects returns the ends of the requests under which the most servers ended.
-func (c *Core) Suspects(most int) []suspect.End { return c.suspects.Worst(most) }
+func (c *Core) Suspects(most int) []suspect.Crash { return c.suspects.TopCrashes(most) }
--- a/pkg/catalog/bench_test.go
+++ b/pkg/catalog/bench_test.go
@@ -15,7 +15,7 @@
 	for _, servers := range []int{300, 1000, 3000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			c := catalog.New()
-			n := catalog.News{AsOf: 10, Table: warmTable(4)}
+			n := catalog.Update{AsOf: 10, Table: warmTable(4)}
 			for i := range servers {
 				n.Servers = append(n.Servers, serving(fmt.Sprintf("i-%08d", i), 9))
 			}
@@ -26,7 +26,7 @@
 				s := serving(n.Servers[servers/2].Backend.Name, asOf+1)
 				s.Backend.Mark = marks[i%2]
 				now := time.Duration(i) * time.Millisecond
-				c.Merge(now, catalog.News{After: asOf, AsOf: asOf + 1, Servers: []catalog.Server{s}})
+				c.Merge(now, catalog.Update{After: asOf, AsOf: asOf + 1, Servers: []catalog.Server{s}})
 				if news := c.Since(asOf); len(news.Servers) != 1 {
 					b.Fatal(len(news.Servers))
 				}
--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -13,9 +13,9 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// ErrForgotten says that the platform no longer remembers the changes after a
+// ErrCompacted says that the platform no longer remembers the changes after a
 // revision, so that everything must be read anew.
-var ErrForgotten = errors.New("catalog: the changes since that revision are forgotten")
+var ErrCompacted = errors.New("catalog: the changes since that revision are forgotten")
 
 // Server is one entry of the directory of backend servers.
 type Server struct {
@@ -31,8 +31,8 @@
 	Backend table.Backend
 }
 
-// News is a part of what the platform publishes.
-type News struct {
+// Update is a part of what the platform publishes.
+type Update struct {
 	// Epoch is the platform's epoch, of which all revisions are.
 	Epoch uint64
 	// EpochAge is how long ago the sender first heard of the epoch.
@@ -60,7 +60,7 @@
 }
 
 // Empty reports whether the news say nothing but how far they reach.
-func (n *News) Empty() bool {
+func (n *Update) Empty() bool {
 	return n.Table == nil && len(n.Servers) == 0 && len(n.Zones) == 0 && n.Retained == nil && n.After > 0
 }
 
@@ -125,19 +125,19 @@
 // Option changes a new Catalog.
 type Option func(*Catalog)
 
-// WithKeep sets for how long backend servers whose entries vanish together are
+// WithRemovalGrace sets for how long backend servers whose entries vanish together are
 // kept in the view; 0, the default, is not at all.
-func WithKeep(d time.Duration) Option { return func(c *Catalog) { c.keep = d } }
+func WithRemovalGrace(d time.Duration) Option { return func(c *Catalog) { c.keep = d } }
 
-// WithOwn sets what tells whether an address is a router's own.
-func WithOwn(own func(address string) bool) Option { return func(c *Catalog) { c.own = own } }
+// WithOwnAddress sets what tells whether an address is a router's own.
+func WithOwnAddress(own func(address string) bool) Option { return func(c *Catalog) { c.own = own } }
 
 // New returns a catalog that knows nothing.
 func New(opts ...Option) *Catalog {
 	c := &Catalog{
 		servers: map[string]Server{}, zones: map[string]zone{}, warmUntil: map[string]time.Duration{},
 		goneAt: map[string]time.Duration{}, vanished: map[string]vanished{}, unusable: map[string]bool{}, damaged: map[Reason]int64{},
-		retainedServers: map[string]retained[Server]{}, retainedZones: map[string]retained[Zone]{}, missingFor: DefaultMissing,
+		retainedServers: map[string]retained[Server]{}, retainedZones: map[string]retained[Zone]{}, missingFor: DefaultUnlistedGrace,
 	}
 	for _, f := range opts {
 		f(c)
@@ -158,7 +158,7 @@
 
 // Merge takes news in at the time now and reports whether the view changed. News of an
 // earlier epoch say nothing, nor do those of a later one unless they hold everything.
-func (c *Catalog) Merge(now time.Duration, n News) bool {
+func (c *Catalog) Merge(now time.Duration, n Update) bool {
 	c.now = now
 	whole := n.After == 0 && n.AsOf > 0
 	if n.Epoch < c.asOf.Epoch || n.Epoch > c.asOf.Epoch && !whole {
@@ -260,7 +260,7 @@
 	if !known {
 		c.names = nil
 	}
-	if s.Unusable.Is() {
+	if s.Unusable.IsSet() {
 		return c.mergeUnusable(s, old)
 	}
 	delete(c.unusable, name)
@@ -300,7 +300,7 @@
 
 // dropUnlisted takes away the entries that changed last after the revision since which the
 // news are complete, and which they do not hold: they are gone by now.
-func (c *Catalog) dropUnlisted(now time.Duration, n *News) bool {
+func (c *Catalog) dropUnlisted(now time.Duration, n *Update) bool {
 	listed := make(map[string]bool, len(n.Servers))
 	for _, s := range n.Servers {
 		listed[s.Backend.Name] = true
@@ -357,7 +357,7 @@
 	t.Backends = append(t.Backends, c.table.Backends...)
 	for _, name := range c.sortedNames() {
 		if s, ok := c.current(name); ok && !s.Gone {
-			if s.Unusable.Is() && s.Backend.Mark == "" || !c.inTable(&s.Backend) {
+			if s.Unusable.IsSet() && s.Backend.Mark == "" || !c.inTable(&s.Backend) {
 				continue
 			}
 			t.Backends = append(t.Backends, c.warming(s.Backend))
--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -54,51 +54,51 @@
 }
 
 func TestMerge(t *testing.T) {
-	whole := catalog.News{AsOf: 10, Table: tableAt(4), Servers: []catalog.Server{server("a", 7), server("b", 9)}}
+	whole := catalog.Update{AsOf: 10, Table: tableAt(4), Servers: []catalog.Server{server("a", 7), server("b", 9)}}
 	tests := map[string]struct {
-		news []catalog.News
+		news []catalog.Update
 		want state
 	}{
-		"whole":       {[]catalog.News{whole}, state{10, 4, []string{"a", "b"}, nil}},
-		"zone closed": {[]catalog.News{whole, {After: 10, AsOf: 11, Zones: []catalog.Zone{closed("x", 11)}}}, state{11, 4, []string{"a", "b"}, []string{"x"}}},
+		"whole":       {[]catalog.Update{whole}, state{10, 4, []string{"a", "b"}, nil}},
+		"zone closed": {[]catalog.Update{whole, {After: 10, AsOf: 11, Zones: []catalog.Zone{closed("x", 11)}}}, state{11, 4, []string{"a", "b"}, []string{"x"}}},
 		"zone opened": {
-			[]catalog.News{whole, {After: 10, AsOf: 12, Zones: []catalog.Zone{closed("x", 11), closed("y", 12)}}, {After: 12, AsOf: 13, Zones: []catalog.Zone{opened("x", 13)}}},
+			[]catalog.Update{whole, {After: 10, AsOf: 12, Zones: []catalog.Zone{closed("x", 11), closed("y", 12)}}, {After: 12, AsOf: 13, Zones: []catalog.Zone{opened("x", 13)}}},
 			state{13, 4, []string{"a", "b"}, []string{"y"}}},
 		"an older closing does not overtake an opening": {
-			[]catalog.News{whole, {After: 10, AsOf: 13, Zones: []catalog.Zone{opened("x", 13)}}, {After: 10, AsOf: 11, Zones: []catalog.Zone{closed("x", 11)}}},
+			[]catalog.Update{whole, {After: 10, AsOf: 13, Zones: []catalog.Zone{opened("x", 13)}}, {After: 10, AsOf: 11, Zones: []catalog.Zone{closed("x", 11)}}},
 			state{13, 4, []string{"a", "b"}, nil}},
 		"a whole read without a mark opens": {
-			[]catalog.News{whole, {After: 10, AsOf: 11, Zones: []catalog.Zone{closed("x", 11)}}, {AsOf: 20, Table: tableAt(4), Servers: []catalog.Server{server("a", 7), server("b", 9)}}},
+			[]catalog.Update{whole, {After: 10, AsOf: 11, Zones: []catalog.Zone{closed("x", 11)}}, {AsOf: 20, Table: tableAt(4), Servers: []catalog.Server{server("a", 7), server("b", 9)}}},
 			state{20, 4, []string{"a", "b"}, nil}},
 		"a whole read says nothing of a later closing": {
-			[]catalog.News{whole, {After: 10, AsOf: 12, Zones: []catalog.Zone{closed("x", 12)}}, {AsOf: 11, Servers: []catalog.Server{server("a", 7), server("b", 9)}}},
+			[]catalog.Update{whole, {After: 10, AsOf: 12, Zones: []catalog.Zone{closed("x", 12)}}, {AsOf: 11, Servers: []catalog.Server{server("a", 7), server("b", 9)}}},
 			state{12, 4, []string{"a", "b"}, []string{"x"}}},
-		"older table":   {[]catalog.News{whole, {After: 10, AsOf: 11, Table: tableAt(3)}}, state{11, 4, []string{"a", "b"}, nil}},
-		"entry removed": {[]catalog.News{whole, {After: 10, AsOf: 12, Servers: []catalog.Server{gone("a", 12)}}}, state{12, 4, []string{"b"}, nil}},
+		"older table":   {[]catalog.Update{whole, {After: 10, AsOf: 11, Table: tableAt(3)}}, state{11, 4, []string{"a", "b"}, nil}},
+		"entry removed": {[]catalog.Update{whole, {After: 10, AsOf: 12, Servers: []catalog.Server{gone("a", 12)}}}, state{12, 4, []string{"b"}, nil}},
 		"late news do not bring an entry back": {
-			[]catalog.News{whole, {After: 10, AsOf: 12, Servers: []catalog.Server{gone("a", 12)}}, whole}, state{12, 4, []string{"b"}, nil}},
+			[]catalog.Update{whole, {After: 10, AsOf: 12, Servers: []catalog.Server{gone("a", 12)}}, whole}, state{12, 4, []string{"b"}, nil}},
 		"late news of an entry that went unheard of": {
-			[]catalog.News{{AsOf: 9, Table: tableAt(4), Servers: []catalog.Server{server("b", 9)}}, {AsOf: 8, Table: tableAt(4), Servers: []catalog.Server{server("a", 7)}, Zones: []catalog.Zone{closed("x", 6)}}},
+			[]catalog.Update{{AsOf: 9, Table: tableAt(4), Servers: []catalog.Server{server("b", 9)}}, {AsOf: 8, Table: tableAt(4), Servers: []catalog.Server{server("a", 7)}, Zones: []catalog.Zone{closed("x", 6)}}},
 			state{9, 4, []string{"b"}, nil}},
 		"late news of an entry that came and went unheard of": {
-			[]catalog.News{whole, {After: 10, AsOf: 11, Servers: []catalog.Server{gone("a", 11)}}, {AsOf: 14, Table: tableAt(4), Servers: []catalog.Server{server("b", 9)}}, {After: 11, AsOf: 12, Servers: []catalog.Server{server("a", 12)}}},
+			[]catalog.Update{whole, {After: 10, AsOf: 11, Servers: []catalog.Server{gone("a", 11)}}, {AsOf: 14, Table: tableAt(4), Servers: []catalog.Server{server("b", 9)}}, {After: 11, AsOf: 12, Servers: []catalog.Server{server("a", 12)}}},
 			state{14, 4, []string{"b"}, nil}},
 		"a whole read tells what a watch left out": {
-			[]catalog.News{whole, {After: 10, AsOf: 13}, {AsOf: 14, Table: tableAt(4), Servers: []catalog.Server{server("a", 7), server("b", 9), server("c", 12)}, Zones: []catalog.Zone{closed("x", 13)}}},
+			[]catalog.Update{whole, {After: 10, AsOf: 13}, {AsOf: 14, Table: tableAt(4), Servers: []catalog.Server{server("a", 7), server("b", 9), server("c", 12)}, Zones: []catalog.Zone{closed("x", 13)}}},
 			state{14, 4, []string{"a", "b", "c"}, []string{"x"}}},
 		"a whole read at the same revision tells it, too": {
-			[]catalog.News{whole, {After: 10, AsOf: 13}, {AsOf: 13, Table: tableAt(4), Servers: []catalog.Server{server("a", 7), server("b", 9), server("c", 12)}}},
+			[]catalog.Update{whole, {After: 10, AsOf: 13}, {AsOf: 13, Table: tableAt(4), Servers: []catalog.Server{server("a", 7), server("b", 9), server("c", 12)}}},
 			state{13, 4, []string{"a", "b", "c"}, nil}},
 		"an entry written anew comes back": {
-			[]catalog.News{whole, {After: 10, AsOf: 12, Servers: []catalog.Server{gone("a", 12)}}, {After: 12, AsOf: 13, Servers: []catalog.Server{server("a", 13)}}},
+			[]catalog.Update{whole, {After: 10, AsOf: 12, Servers: []catalog.Server{gone("a", 12)}}, {After: 12, AsOf: 13, Servers: []catalog.Server{server("a", 13)}}},
 			state{13, 4, []string{"a", "b"}, nil}},
 		"unlisted entries of a whole read are gone": {
-			[]catalog.News{whole, {AsOf: 20, Table: tableAt(4), Servers: []catalog.Server{server("b", 9)}}}, state{20, 4, []string{"b"}, nil}},
+			[]catalog.Update{whole, {AsOf: 20, Table: tableAt(4), Servers: []catalog.Server{server("b", 9)}}}, state{20, 4, []string{"b"}, nil}},
 		"a whole read says nothing of what came after it": {
-			[]catalog.News{whole, {After: 10, AsOf: 12, Servers: []catalog.Server{server("c", 12)}}, {AsOf: 11, Servers: []catalog.Server{server("a", 7), server("b", 9)}}},
+			[]catalog.Update{whole, {After: 10, AsOf: 12, Servers: []catalog.Server{server("c", 12)}}, {AsOf: 11, Servers: []catalog.Server{server("a", 7), server("b", 9)}}},
 			state{12, 4, []string{"a", "b", "c"}, nil}},
 		"news with a gap before them do not complete": {
-			[]catalog.News{whole, {After: 14, AsOf: 15, Servers: []catalog.Server{server("c", 15)}}}, state{10, 4, []string{"a", "b", "c"}, nil}},
+			[]catalog.Update{whole, {After: 14, AsOf: 15, Servers: []catalog.Server{server("c", 15)}}}, state{10, 4, []string{"a", "b", "c"}, nil}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -117,11 +117,11 @@
 // with repetitions and through each other, and compares where they end.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var history []catalog.News
+		var history []catalog.Update
 		last := uint64(1)
-		history = append(history, catalog.News{AsOf: 1, Table: tableAt(1)})
+		history = append(history, catalog.Update{AsOf: 1, Table: tableAt(1)})
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
-			n := catalog.News{After: last, AsOf: last + 1}
+			n := catalog.Update{After: last, AsOf: last + 1}
 			last++
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0:
@@ -166,23 +166,23 @@
 	leaving.Backend.Mark = table.Leaving
 	all := []catalog.Server{serving("a", 1), serving("b", 2), serving("c", 3), serving("d", 4)}
 	tests := map[string]struct {
-		news   []catalog.News
+		news   []catalog.Update
 		soon   []string
 		later  []string
 		expire bool
 	}{
-		"all at once":       {[]catalog.News{{After: 5, AsOf: 9, Servers: []catalog.Server{gone("a", 6), gone("b", 7), gone("c", 8), gone("d", 9)}}}, []string{"a", "b", "c", "d"}, nil, true},
-		"in a whole read":   {[]catalog.News{{AsOf: 9, Table: tableAt(1)}}, []string{"a", "b", "c", "d"}, nil, true},
-		"half":              {[]catalog.News{{After: 5, AsOf: 7, Servers: []catalog.Server{gone("a", 6), gone("b", 7)}}}, []string{"c", "d", "a", "b"}, []string{"c", "d"}, true},
-		"one":               {[]catalog.News{{After: 5, AsOf: 6, Servers: []catalog.Server{gone("a", 6)}}}, []string{"b", "c", "d"}, []string{"b", "c", "d"}, false},
-		"some come back":    {[]catalog.News{{AsOf: 9, Table: tableAt(1)}, {After: 9, AsOf: 11, Servers: []catalog.Server{serving("b", 10), serving("a", 11)}}}, []string{"a", "b", "c", "d"}, []string{"a", "b"}, true},
-		"one was to leave":  {[]catalog.News{{After: 5, AsOf: 8, Servers: []catalog.Server{leaving}}, {AsOf: 9, Table: tableAt(1)}}, []string{"b", "c", "d"}, nil, true},
-		"old word of a one": {[]catalog.News{{AsOf: 9, Table: tableAt(1)}, {After: 0, AsOf: 5, Servers: all}}, []string{"a", "b", "c", "d"}, nil, true},
+		"all at once":       {[]catalog.Update{{After: 5, AsOf: 9, Servers: []catalog.Server{gone("a", 6), gone("b", 7), gone("c", 8), gone("d", 9)}}}, []string{"a", "b", "c", "d"}, nil, true},
+		"in a whole read":   {[]catalog.Update{{AsOf: 9, Table: tableAt(1)}}, []string{"a", "b", "c", "d"}, nil, true},
+		"half":              {[]catalog.Update{{After: 5, AsOf: 7, Servers: []catalog.Server{gone("a", 6), gone("b", 7)}}}, []string{"c", "d", "a", "b"}, []string{"c", "d"}, true},
+		"one":               {[]catalog.Update{{After: 5, AsOf: 6, Servers: []catalog.Server{gone("a", 6)}}}, []string{"b", "c", "d"}, []string{"b", "c", "d"}, false},
+		"some come back":    {[]catalog.Update{{AsOf: 9, Table: tableAt(1)}, {After: 9, AsOf: 11, Servers: []catalog.Server{serving("b", 10), serving("a", 11)}}}, []string{"a", "b", "c", "d"}, []string{"a", "b"}, true},
+		"one was to leave":  {[]catalog.Update{{After: 5, AsOf: 8, Servers: []catalog.Server{leaving}}, {AsOf: 9, Table: tableAt(1)}}, []string{"b", "c", "d"}, nil, true},
+		"old word of a one": {[]catalog.Update{{AsOf: 9, Table: tableAt(1)}, {After: 0, AsOf: 5, Servers: all}}, []string{"a", "b", "c", "d"}, nil, true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := catalog.New(catalog.WithKeep(keep))
-			c.Merge(0, catalog.News{AsOf: 5, Table: tableAt(1), Servers: all})
+			c := catalog.New(catalog.WithRemovalGrace(keep))
+			c.Merge(0, catalog.Update{AsOf: 5, Table: tableAt(1), Servers: all})
 			for _, n := range tc.news {
 				c.Merge(0, n)
 			}
@@ -205,12 +205,12 @@
 // TestRemovalThatIsForgotten asks a catalog for what came after a revision before a removal
 // which it has forgotten meanwhile: the entry does not stay for ever with who asks.
 func TestRemovalThatIsForgotten(t *testing.T) {
-	start := catalog.News{AsOf: 5, Table: tableAt(1), Servers: []catalog.Server{server("a", 2), server("b", 3)}}
+	start := catalog.Update{AsOf: 5, Table: tableAt(1), Servers: []catalog.Server{server("a", 2), server("b", 3)}}
 	told, suspended := catalog.New(), catalog.New()
 	told.Merge(0, start)
 	suspended.Merge(0, start)
-	told.Merge(0, catalog.News{After: 5, AsOf: 6, Servers: []catalog.Server{gone("a", 6)}})
-	told.Merge(time.Hour, catalog.News{After: 6, AsOf: 7, Servers: []catalog.Server{server("c", 7)}})
+	told.Merge(0, catalog.Update{After: 5, AsOf: 6, Servers: []catalog.Server{gone("a", 6)}})
+	told.Merge(time.Hour, catalog.Update{After: 6, AsOf: 7, Servers: []catalog.Server{server("c", 7)}})
 	suspended.Merge(time.Hour, told.Since(suspended.AsOf().Number))
 	if diff := cmp.Diff(stateOf(told), stateOf(suspended)); diff != "" {
 		t.Errorf("catalogs differ (-told +suspended):\n%s", diff)
@@ -220,9 +220,9 @@
 // TestRemovalThatTheTellerNeverHeardOf asks a catalog that knows nothing from before a removal
 // for what came after a revision before it.
 func TestRemovalThatTheTellerNeverHeardOf(t *testing.T) {
-	before := catalog.News{AsOf: 5, Table: tableAt(1), Servers: []catalog.Server{server("a", 2), server("b", 3)}, Zones: []catalog.Zone{closed("x", 4)}}
-	after := catalog.News{AsOf: 8, Table: tableAt(1), Servers: []catalog.Server{server("b", 3), server("c", 8)}}
-	tests := map[string][]catalog.News{
+	before := catalog.Update{AsOf: 5, Table: tableAt(1), Servers: []catalog.Server{server("a", 2), server("b", 3)}, Zones: []catalog.Zone{closed("x", 4)}}
+	after := catalog.Update{AsOf: 8, Table: tableAt(1), Servers: []catalog.Server{server("b", 3), server("c", 8)}}
+	tests := map[string][]catalog.Update{
 		"who has just started":           {after},
 		"and follows the platform since": {after, {After: 8, AsOf: 9, Servers: []catalog.Server{server("d", 9)}}},
 		"who was told by one that read all again": {
@@ -240,7 +240,7 @@
 			}
 			asks.Merge(0, before)
 			// It hears of what comes and goes again meanwhile, and not that it goes.
-			asks.Merge(0, catalog.News{After: 5, AsOf: 7, Servers: []catalog.Server{gone("a", 6), server("e", 7)}})
+			asks.Merge(0, catalog.Update{After: 5, AsOf: 7, Servers: []catalog.Server{gone("a", 6), server("e", 7)}})
 			asks.Merge(0, teller.Since(asks.AsOf().Number))
 			if diff := cmp.Diff(stateOf(teller), stateOf(asks)); diff != "" {
 				t.Errorf("catalogs differ (-teller +asks):\n%s", diff)
--- a/pkg/catalog/epoch.go
+++ b/pkg/catalog/epoch.go
@@ -13,7 +13,7 @@
 // knew is retained, and overrides the list.
 
 // enter begins a new epoch with all that it lists.
-func (c *Catalog) enter(now time.Duration, n *News) {
+func (c *Catalog) enter(now time.Duration, n *Update) {
 	e := epochChange{c: c, from: c.asOf.Epoch, fromEntered: c.enteredNumber, listed: n, evidence: c.compareHistories(n)}
 	e.servers, e.zones = c.allServers(), c.allZones()
 	c.asOf = Revision{Epoch: n.Epoch}
@@ -42,7 +42,7 @@
 	// from is the epoch before, fromEntered the number as of which that was entered: later
 	// ones were given out in it.
 	from, fromEntered uint64
-	listed            *News
+	listed            *Update
 	evidence          evidence
 	servers           map[string]retained[Server]
 	zones             map[string]retained[Zone]
@@ -131,7 +131,7 @@
 // before, which is not what a backend server says in the course of a start.
 func contradicts(later, listed *Server) bool {
 	switch {
-	case listed.Unusable.Is() || later.Unusable.Is():
+	case listed.Unusable.IsSet() || later.Unusable.IsSet():
 		return false
 	case later.Gone || listed.Gone:
 		return later.Gone && !listed.Gone
@@ -151,7 +151,7 @@
 }
 
 // compareHistories compares a list of a new epoch with what recent numbers of this one were of.
-func (c *Catalog) compareHistories(n *News) evidence {
+func (c *Catalog) compareHistories(n *Update) evidence {
 	x := evidence{foreign: math.MaxUint64}
 	observe := func(number, digest uint64) {
 		switch same, isKnown := c.history.same(number, digest); {
--- a/pkg/catalog/history.go
+++ b/pkg/catalog/history.go
@@ -36,7 +36,7 @@
 
 // digest is of what does not change while an entry does not.
 func (s *Server) digest() uint64 {
-	if s.Unusable.Is() {
+	if s.Unusable.IsSet() {
 		return digestWords("server", s.Backend.Name)
 	}
 	b := &s.Backend
--- a/pkg/catalog/retained.go
+++ b/pkg/catalog/retained.go
@@ -12,12 +12,12 @@
 // than an entry lasts whose backend server has ended.
 const settleFor = 10 * time.Second
 
-// DefaultMissing is for how long a backend server is retained that the copy does not list.
-const DefaultMissing = 1500 * time.Millisecond
+// DefaultUnlistedGrace is for how long a backend server is retained that the copy does not list.
+const DefaultUnlistedGrace = 1500 * time.Millisecond
 
-// WithMissing sets for how long a backend server is retained that a new epoch does not list,
+// WithUnlistedGrace sets for how long a backend server is retained that a new epoch does not list,
 // since it may have come after the copy; it enters itself again within that.
-func WithMissing(d time.Duration) Option { return func(c *Catalog) { c.missingFor = d } }
+func WithUnlistedGrace(d time.Duration) Option { return func(c *Catalog) { c.missingFor = d } }
 
 // Retained is what an earlier epoch published last, and the current one has not written again.
 type Retained struct {
@@ -155,8 +155,8 @@
 	return changed
 }
 
-// Verified notes that nothing newer was published at a time than what is known.
-func (c *Catalog) Verified(at time.Duration) { c.verifiedAt = max(c.verifiedAt, at) }
+// MarkVerified notes that nothing newer was published at a time than what is known.
+func (c *Catalog) MarkVerified(at time.Duration) { c.verifiedAt = max(c.verifiedAt, at) }
 
 // hasExpired reports whether something has been retained for long enough: it is dropped only
 // once this catalog is known to hold the newest since then.
--- a/pkg/catalog/since.go
+++ b/pkg/catalog/since.go
@@ -9,9 +9,9 @@
 
 // Since returns what changed after a number of the current epoch, everything for 0 and where
 // not all removals after it are remembered.
-func (c *Catalog) Since(after uint64) News {
+func (c *Catalog) Since(after uint64) Update {
 	after = c.recordedFrom(after)
-	n := News{Epoch: c.asOf.Epoch, EpochAge: c.now - c.enteredAt, After: after, AsOf: c.asOf.Number}
+	n := Update{Epoch: c.asOf.Epoch, EpochAge: c.now - c.enteredAt, After: after, AsOf: c.asOf.Number}
 	if after >= c.asOf.Number {
 		n.After = c.asOf.Number
 		return n
@@ -29,7 +29,7 @@
 	}
 	for name, s := range c.servers {
 		if s.Revision > after {
-			if s.Unusable.Is() {
+			if s.Unusable.IsSet() {
 				s.Backend = table.Backend{Name: name}
 			}
 			s.Backend.WarmupLeft = max(0, c.warmUntil[name]-c.now)
@@ -72,9 +72,9 @@
 	c.jumps = slices.Delete(c.jumps, 0, 1)
 }
 
-// Remembers reports whether all that changed after a number of the current epoch can be told
+// HasHistorySince reports whether all that changed after a number of the current epoch can be told
 // without telling everything.
-func (c *Catalog) Remembers(number uint64) bool { return c.recordedFrom(number) > 0 }
+func (c *Catalog) HasHistorySince(number uint64) bool { return c.recordedFrom(number) > 0 }
 
 // recordedFrom returns the last number up to one since which all changes can be told, 0 if
 // everything is to be told.
--- a/pkg/catalog/unusable.go
+++ b/pkg/catalog/unusable.go
@@ -23,8 +23,8 @@
 	WrongType    Reason = "wrong-type"
 	// BadValue: a field's value is none that can be used.
 	BadValue Reason = "bad-value"
-	// GivenTwice: a field is there more than once, so that nobody can know which holds.
-	GivenTwice Reason = "given-twice"
+	// DuplicateField: a field is there more than once, so that nobody can know which holds.
+	DuplicateField Reason = "given-twice"
 	// OwnAddress: its address is a router's own, to which requests would go round.
 	OwnAddress Reason = "own-address"
 )
@@ -37,8 +37,8 @@
 	Field string
 }
 
-// Is reports whether the entry cannot be used.
-func (u Unusable) Is() bool { return u.Reason != "" }
+// IsSet reports whether the entry cannot be used.
+func (u Unusable) IsSet() bool { return u.Reason != "" }
 
 // Skipped is something that was published and says nothing that can be used: neither an
 // entry with a name nor a table.
@@ -77,15 +77,15 @@
 
 // Checked returns news as another router told them with the entries that cannot be used
 // marked as such: it may have other rules, or be another program.
-func (n News) Checked() News {
+func (n Update) Checked() Update {
 	shared := true
 	for i := range n.Servers {
 		s := &n.Servers[i]
-		if s.Gone || s.Unusable.Is() {
+		if s.Gone || s.Unusable.IsSet() {
 			continue
 		}
 		why := Check(&s.Backend)
-		if !why.Is() {
+		if !why.IsSet() {
 			continue
 		}
 		if shared {
@@ -104,7 +104,7 @@
 		return nil
 	}
 	return &Retained{Table: k.Table, Zones: k.Zones, Servers: slices.DeleteFunc(slices.Clone(k.Servers), func(x RetainedServer) bool {
-		return !x.Server.Gone && Check(&x.Server.Backend).Is()
+		return !x.Server.Gone && Check(&x.Server.Backend).IsSet()
 	})}
 }
 
@@ -115,10 +115,10 @@
 		s.Unusable = Unusable{}
 		return s
 	}
-	if !s.Unusable.Is() && c.isOwn(s.Backend.Address) {
+	if !s.Unusable.IsSet() && c.isOwn(s.Backend.Address) {
 		s.Unusable = Unusable{OwnAddress, "address"}
 	}
-	if !s.Unusable.Is() {
+	if !s.Unusable.IsSet() {
 		return s
 	}
 	s.Backend = table.Backend{Name: s.Backend.Name}
@@ -134,7 +134,7 @@
 // mostNoted bounds the entries whose reasons wait to be logged.
 const mostNoted = 64
 
-// note keeps an entry that cannot be used until Noted is called.
+// note keeps an entry that cannot be used until DrainUnusable is called.
 func (c *Catalog) note(s Server) {
 	c.damaged[s.Unusable.Reason]++
 	if len(c.noted) < mostNoted {
@@ -142,15 +142,15 @@
 	}
 }
 
-// Noted returns the entries that turned out to be of no use since the last call, of
+// DrainUnusable returns the entries that turned out to be of no use since the last call, of
 // which there may be some more.
-func (c *Catalog) Noted() (list []Server) {
+func (c *Catalog) DrainUnusable() (list []Server) {
 	list, c.noted = c.noted, nil
 	return list
 }
 
-// Damaged returns how many entries turned out to be of no use since the start, by reason.
-func (c *Catalog) Damaged() map[Reason]int64 { return maps.Clone(c.damaged) }
+// UnusableTotals returns how many entries turned out to be of no use since the start, by reason.
+func (c *Catalog) UnusableTotals() map[Reason]int64 { return maps.Clone(c.damaged) }
 
 // Unusable returns why entries cannot be used, by their names, mostNoted at the most, and
 // how many there are.
--- a/pkg/catalog/unusable_test.go
+++ b/pkg/catalog/unusable_test.go
@@ -48,16 +48,16 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := catalog.New(catalog.WithKeep(time.Minute))
-			c.Merge(0, catalog.News{AsOf: 4, Table: &table.Table{Revision: 1}, Servers: []catalog.Server{sound("y", 4, table.Serving)}})
+			c := catalog.New(catalog.WithRemovalGrace(time.Minute))
+			c.Merge(0, catalog.Update{AsOf: 4, Table: &table.Table{Revision: 1}, Servers: []catalog.Server{sound("y", 4, table.Serving)}})
 			for _, s := range tc.heard {
-				c.Merge(0, catalog.News{After: 4, AsOf: s.Revision, Servers: []catalog.Server{s}})
+				c.Merge(0, catalog.Update{After: 4, AsOf: s.Revision, Servers: []catalog.Server{s}})
 			}
 			if got := markIn(c); got != tc.want {
 				t.Errorf("it is %q, want %q", got, tc.want)
 			}
 			starts, knew := catalog.New(), catalog.New()
-			knew.Merge(0, catalog.News{AsOf: 4, Table: &table.Table{Revision: 1}, Servers: []catalog.Server{sound("x", 4, table.Serving)}})
+			knew.Merge(0, catalog.Update{AsOf: 4, Table: &table.Table{Revision: 1}, Servers: []catalog.Server{sound("x", 4, table.Serving)}})
 			starts.Merge(0, c.Since(0))
 			knew.Merge(0, c.Since(4))
 			if got := markIn(knew); got != tc.atOthers {
@@ -83,13 +83,13 @@
 	c := catalog.New()
 	other := &table.Table{Revision: 1, Services: []table.ServiceRow{{Name: "desk"}}}
 	other.Index()
-	c.Merge(0, catalog.News{AsOf: 2, Table: other, Servers: []catalog.Server{sound("x", 2, table.Serving)}})
+	c.Merge(0, catalog.Update{AsOf: 2, Table: other, Servers: []catalog.Server{sound("x", 2, table.Serving)}})
 	if _, ok := c.View().Backend("x"); ok {
 		t.Error("it is used though the table does not name its service")
 	}
 	named := &table.Table{Revision: 3, Services: []table.ServiceRow{{Name: "desk"}, {Name: "reader"}}}
 	named.Index()
-	c.Merge(0, catalog.News{After: 2, AsOf: 3, Table: named})
+	c.Merge(0, catalog.Update{After: 2, AsOf: 3, Table: named})
 	if _, ok := c.View().Backend("x"); !ok {
 		t.Error("it is not used though the table names its service")
 	}
@@ -97,28 +97,28 @@
 
 // TestPeersNewsAreChecked has another router tell rows that cannot be used.
 func TestPeersNewsAreChecked(t *testing.T) {
-	told := catalog.News{AsOf: 3, Servers: []catalog.Server{sound("x", 2, table.Serving), sound("y", 3, table.Serving)}}
+	told := catalog.Update{AsOf: 3, Servers: []catalog.Server{sound("x", 2, table.Serving), sound("y", 3, table.Serving)}}
 	told.Servers[1].Backend.Address = "nowhere"
 	got := told.Checked()
-	if got.Servers[0].Unusable.Is() || got.Servers[1].Unusable != (catalog.Unusable{Reason: catalog.BadValue, Field: "address"}) {
+	if got.Servers[0].Unusable.IsSet() || got.Servers[1].Unusable != (catalog.Unusable{Reason: catalog.BadValue, Field: "address"}) {
 		t.Errorf("%+v", got.Servers)
 	}
-	if told.Servers[1].Unusable.Is() {
+	if told.Servers[1].Unusable.IsSet() {
 		t.Error("what was told was changed")
 	}
 }
 
 // TestOwnAddress leaves out an entry whose address is a router's own.
 func TestOwnAddress(t *testing.T) {
-	c := catalog.New(catalog.WithOwn(func(address string) bool { return address == "10.0.0.9:80" }))
-	c.Merge(0, catalog.News{AsOf: 2, Table: &table.Table{Revision: 1}, Servers: []catalog.Server{sound("x", 2, table.Serving)}})
+	c := catalog.New(catalog.WithOwnAddress(func(address string) bool { return address == "10.0.0.9:80" }))
+	c.Merge(0, catalog.Update{AsOf: 2, Table: &table.Table{Revision: 1}, Servers: []catalog.Server{sound("x", 2, table.Serving)}})
 	if _, ok := c.View().Backend("x"); ok {
 		t.Error("requests would go round")
 	}
 	if list, n := c.Unusable(); n != 1 || list["x"].Reason != catalog.OwnAddress {
 		t.Errorf("%+v", list)
 	}
-	if noted := c.Noted(); len(noted) != 1 || len(c.Noted()) != 0 || c.Damaged()[catalog.OwnAddress] != 1 {
-		t.Errorf("noted %+v, counted %+v", noted, c.Damaged())
+	if noted := c.DrainUnusable(); len(noted) != 1 || len(c.DrainUnusable()) != 0 || c.UnusableTotals()[catalog.OwnAddress] != 1 {
+		t.Errorf("noted %+v, counted %+v", noted, c.UnusableTotals())
 	}
 }
--- a/pkg/catalog/warmup_test.go
+++ b/pkg/catalog/warmup_test.go
@@ -36,11 +36,11 @@
 
 // TestWarmup follows what entries, zones and lapses say of a warm-up.
 func TestWarmup(t *testing.T) {
-	start := catalog.News{AsOf: 10, Table: warmTable(4), Servers: []catalog.Server{warming("a", 7, 0), warming("b", 8, 0)}}
+	start := catalog.Update{AsOf: 10, Table: warmTable(4), Servers: []catalog.Server{warming("a", 7, 0), warming("b", 8, 0)}}
 	second := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 	type heard struct {
 		at   time.Duration
-		news catalog.News
+		news catalog.Update
 		// changed says that the view is another one.
 		changed bool
 	}
@@ -50,35 +50,35 @@
 	}{
 		"warm": {nil, 0},
 		"turns cold": {[]heard{
-			{second(1), catalog.News{After: 10, AsOf: 11, Servers: []catalog.Server{warming("a", 11, second(2))}}, true},
+			{second(1), catalog.Update{After: 10, AsOf: 11, Servers: []catalog.Server{warming("a", 11, second(2))}}, true},
 		}, second(2)},
 		"counts down, which is no change": {[]heard{
-			{second(1), catalog.News{After: 10, AsOf: 11, Servers: []catalog.Server{warming("a", 11, second(3))}}, true},
-			{second(2.3), catalog.News{After: 11, AsOf: 12, Servers: []catalog.Server{warming("a", 12, second(1.8))}}, false},
+			{second(1), catalog.Update{After: 10, AsOf: 11, Servers: []catalog.Server{warming("a", 11, second(3))}}, true},
+			{second(2.3), catalog.Update{After: 11, AsOf: 12, Servers: []catalog.Server{warming("a", 12, second(1.8))}}, false},
 		}, second(3)},
 		"says early that it is warm": {[]heard{
-			{second(1), catalog.News{After: 10, AsOf: 11, Servers: []catalog.Server{warming("a", 11, second(3))}}, true},
-			{second(2), catalog.News{After: 11, AsOf: 12, Servers: []catalog.Server{warming("a", 12, 0)}}, true},
+			{second(1), catalog.Update{After: 10, AsOf: 11, Servers: []catalog.Server{warming("a", 11, second(3))}}, true},
+			{second(2), catalog.Update{After: 11, AsOf: 12, Servers: []catalog.Server{warming("a", 12, 0)}}, true},
 		}, 0},
 		"turns cold once more": {[]heard{
-			{second(1), catalog.News{After: 10, AsOf: 11, Servers: []catalog.Server{warming("a", 11, second(2))}}, true},
-			{second(2), catalog.News{After: 11, AsOf: 12, Servers: []catalog.Server{warming("a", 12, second(3))}}, true},
+			{second(1), catalog.Update{After: 10, AsOf: 11, Servers: []catalog.Server{warming("a", 11, second(2))}}, true},
+			{second(2), catalog.Update{After: 11, AsOf: 12, Servers: []catalog.Server{warming("a", 12, second(3))}}, true},
 		}, second(3)},
 		"its zone is opened": {[]heard{
-			{second(1), catalog.News{After: 10, AsOf: 11, Zones: []catalog.Zone{closed("x", 11)}}, true},
-			{second(2), catalog.News{After: 11, AsOf: 12, Zones: []catalog.Zone{opened("x", 12)}}, true},
+			{second(1), catalog.Update{After: 10, AsOf: 11, Zones: []catalog.Zone{closed("x", 11)}}, true},
+			{second(2), catalog.Update{After: 11, AsOf: 12, Zones: []catalog.Zone{opened("x", 12)}}, true},
 		}, warmupTime},
 		"lapses": {[]heard{
-			{second(1), catalog.News{After: 10, AsOf: 12, Servers: []catalog.Server{gone("a", 11), gone("b", 12)}}, true},
+			{second(1), catalog.Update{After: 10, AsOf: 12, Servers: []catalog.Server{gone("a", 11), gone("b", 12)}}, true},
 		}, warmupTime},
 		"lapses and comes back": {[]heard{
-			{second(1), catalog.News{After: 10, AsOf: 12, Servers: []catalog.Server{gone("a", 11), gone("b", 12)}}, true},
-			{second(2), catalog.News{After: 12, AsOf: 13, Servers: []catalog.Server{warming("a", 13, 0)}}, true},
+			{second(1), catalog.Update{After: 10, AsOf: 12, Servers: []catalog.Server{gone("a", 11), gone("b", 12)}}, true},
+			{second(2), catalog.Update{After: 12, AsOf: 13, Servers: []catalog.Server{warming("a", 13, 0)}}, true},
 		}, 0},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := catalog.New(catalog.WithKeep(5 * time.Second))
+			c := catalog.New(catalog.WithRemovalGrace(5 * time.Second))
 			c.Merge(0, start)
 			for i, h := range tc.heard {
 				if got := c.Merge(h.at, h.news); got != h.changed {
@@ -96,7 +96,7 @@
 // then is told.
 func TestWarmupIsToldOn(t *testing.T) {
 	c, other := catalog.New(), catalog.New()
-	c.Merge(0, catalog.News{AsOf: 10, Table: warmTable(4), Servers: []catalog.Server{warming("a", 7, 3*time.Second)}})
+	c.Merge(0, catalog.Update{AsOf: 10, Table: warmTable(4), Servers: []catalog.Server{warming("a", 7, 3*time.Second)}})
 	c.Refresh(time.Second)
 	other.Merge(0, c.Since(0))
 	if got := leftOf(other, "a"); got != 2*time.Second {
@@ -109,7 +109,7 @@
 func TestManyChangesAreJoinedTogether(t *testing.T) {
 	const servers = 1000
 	c := catalog.New()
-	start := catalog.News{AsOf: 10, Table: warmTable(4)}
+	start := catalog.Update{AsOf: 10, Table: warmTable(4)}
 	for i := range servers {
 		start.Servers = append(start.Servers, serving(fmt.Sprintf("i-%d", i), 9))
 	}
@@ -117,7 +117,7 @@
 	leave := func(now time.Duration, name string) bool {
 		s := serving(name, c.AsOf().Number+1)
 		s.Backend.Mark = table.Leaving
-		return c.Merge(now, catalog.News{After: c.AsOf().Number, AsOf: c.AsOf().Number + 1, Servers: []catalog.Server{s}})
+		return c.Merge(now, catalog.Update{After: c.AsOf().Number, AsOf: c.AsOf().Number + 1, Servers: []catalog.Server{s}})
 	}
 	if !leave(2*time.Second, "i-1") {
 		t.Error("the first change does not show at once")
--- a/pkg/catalog/zone.go
+++ b/pkg/catalog/zone.go
@@ -47,7 +47,7 @@
 
 // openUnlisted opens the zones that were closed after the revision since which the news are
 // complete, and which they do not list.
-func (c *Catalog) openUnlisted(now time.Duration, n *News) bool {
+func (c *Catalog) openUnlisted(now time.Duration, n *Update) bool {
 	listed := make(map[string]bool, len(n.Zones))
 	for _, z := range n.Zones {
 		listed[z.Name] = true
--- a/pkg/roster/fleet_test.go
+++ b/pkg/roster/fleet_test.go
@@ -58,11 +58,11 @@
 	}
 	f.sent[from]++
 	r := f.rosters[to]
-	news := r.Heard(f.now, f.self[from])
+	news := r.Observe(f.now, f.self[from])
 	if tell {
-		r.Learn(f.now, from, roster.Report{Digest: f.rosters[from].Digest(f.now), List: f.rosters[from].All(f.now)})
+		r.ApplyReport(f.now, from, roster.Report{Digest: f.rosters[from].Digest(f.now), Members: f.rosters[from].Members(f.now)})
 	}
-	r.StandsBy(f.now, from, digest)
+	r.ConfirmReport(f.now, from, digest)
 	if news || answer {
 		f.deliver(to, from, true, false, 0)
 	}
@@ -75,18 +75,18 @@
 				continue
 			}
 			r := f.rosters[name]
-			t := r.Talk(f.now)
+			t := r.Plan(f.now)
 			f.next[name] = f.now + t.Interval
 			digest, stands := r.Digest(f.now), uint64(0)
 			if t.Relay {
 				stands = digest
 			}
-			for _, to := range slices.Concat(t.Members, t.Served, t.Others) {
+			for _, to := range slices.Concat(t.Peers, t.Served, t.RemoteRelays) {
 				tell := t.Relay && f.told[[2]string{name, to}] != digest
 				f.told[[2]string{name, to}] = digest
 				f.deliver(name, to, tell, false, stands)
 			}
-			for _, to := range r.Tries(f.now, t) {
+			for _, to := range r.NextProbes(f.now, t) {
 				f.deliver(name, to, true, true, 0)
 			}
 			r.Forget(f.now)
@@ -144,8 +144,8 @@
 func TestLostRoutersAreNoticed(t *testing.T) {
 	f := newFleet(3, 20)
 	f.run(5 * time.Second)
-	relay := f.rosters["2-5"].FirstRelay(f.now, "0")
-	other := f.rosters["2-5"].FirstRelay(f.now, "1")
+	relay := f.rosters["2-5"].PrimaryRelay(f.now, "0")
+	other := f.rosters["2-5"].PrimaryRelay(f.now, "1")
 	for _, victim := range []string{relay, other, "2-7"} {
 		f.down[victim] = true
 	}
@@ -153,7 +153,7 @@
 	if wrong := f.wrong(everyone); len(wrong) > 0 {
 		t.Fatalf("3 s after the loss: %v", wrong)
 	}
-	if now := f.rosters["2-5"].FirstRelay(f.now, "0"); now == relay {
+	if now := f.rosters["2-5"].PrimaryRelay(f.now, "0"); now == relay {
 		t.Error("the lost relay is still one")
 	}
 	for _, victim := range []string{relay, other, "2-7"} {
--- a/pkg/roster/report.go
+++ b/pkg/roster/report.go
@@ -20,15 +20,15 @@
 	all bool
 }
 
-// Known is a router as another one tells of it.
-type Known struct {
+// MemberInfo is a router as another one tells of it.
+type MemberInfo struct {
 	Member
-	// Ago is how long ago anyone last heard of it.
-	Ago time.Duration
-	// Lives says that the teller believes that it lives, Heard that it hears
+	// LastSeenAgo is how long ago anyone last heard of it.
+	LastSeenAgo time.Duration
+	// Alive says that the teller believes that it lives, Direct that it hears
 	// it itself.
-	Lives, Heard bool
-	Leaving      bool
+	Alive, Direct bool
+	Leaving       bool
 }
 
 // Report is what another router tells of whom it knows.
@@ -36,16 +36,16 @@
 	// Digest is the sender's own of whom it believes to live.
 	Digest uint64
 	// Base is the digest of the report that this one changes, 0 if it is whole.
-	Base uint64
-	List []Known
+	Base    uint64
+	Members []MemberInfo
 }
 
-// Learn takes in whom another router knows. Those that a relay says to live
+// ApplyReport takes in whom another router knows. Those that a relay says to live
 // are believed to. A relay itself believes only in those that other relays
 // hear themselves, or two of them could vouch for a lost one by each other's
 // word for ever. It returns false if the report changes another one that is not
 // known here, so that a whole one is needed.
-func (r *Roster) Learn(now time.Duration, from string, report Report) bool {
+func (r *Roster) ApplyReport(now time.Duration, from string, report Report) bool {
 	relay, all := r.isRelay(now, from), r.believesAll(now, from)
 	defer func() { r.relaysKnown = nil }()
 	lives := map[string]bool{}
@@ -54,17 +54,17 @@
 	if report.Base != 0 && fits {
 		lives = before.lives
 	}
-	for _, k := range report.List {
+	for _, k := range report.Members {
 		if k.Address == r.self.Address {
 			r.noteFormer(k.Inc)
 			continue
 		}
-		if k.Ago >= ForgetAfter {
+		if k.LastSeenAgo >= ForgetAfter {
 			continue
 		}
 		m := r.learnOf(now, k)
 		delete(lives, k.Address)
-		if k.Inc == m.Inc && k.Lives && relay && (all || k.Heard) {
+		if k.Inc == m.Inc && k.Alive && relay && (all || k.Direct) {
 			lives[k.Address] = true
 			m.leaving = m.leaving || k.Leaving
 		}
@@ -93,9 +93,9 @@
 }
 
 // learnOf notes what another router knows of one.
-func (r *Roster) learnOf(now time.Duration, k Known) *member {
+func (r *Roster) learnOf(now time.Duration, k MemberInfo) *member {
 	m := r.get(now, k.Address)
-	m.known = max(m.known, now-k.Ago)
+	m.known = max(m.known, now-k.LastSeenAgo)
 	if k.Inc > m.Inc {
 		m.leaving, m.unanswered = false, 0
 	}
@@ -108,10 +108,10 @@
 	return m
 }
 
-// StandsBy notes that a relay stands by what it said with a digest. It returns
+// ConfirmReport notes that a relay stands by what it said with a digest. It returns
 // false if that is not what is known here, or was heard as a relay's equal and not
 // as one that it serves or the other way round, so that a whole report is needed.
-func (r *Roster) StandsBy(now time.Duration, relay string, digest uint64) bool {
+func (r *Roster) ConfirmReport(now time.Duration, relay string, digest uint64) bool {
 	v, ok := r.vouched[relay]
 	if !ok {
 		return !r.isRelay(now, relay)
@@ -129,21 +129,21 @@
 	}
 }
 
-// All returns the routers that were heard of lately, with this one. Of other
+// Members returns the routers that were heard of lately, with this one. Of other
 // zones only the relays count as heard here: that another router asked this one
 // for a place comes and goes, and its own relays vouch for it.
-func (r *Roster) All(now time.Duration) []Known {
-	list := []Known{{Member: r.self, Lives: true, Heard: true}}
+func (r *Roster) Members(now time.Duration) []MemberInfo {
+	list := []MemberInfo{{Member: r.self, Alive: true, Direct: true}}
 	relays := r.relays(now)
 	for _, address := range slices.Sorted(maps.Keys(r.members)) {
 		m := r.members[address]
 		if m.Inc == 0 || now-m.known >= ForgetAfter {
 			continue
 		}
-		k := Known{Member: m.Member, Ago: now - m.known, Lives: r.lives(now, m), Leaving: m.leaving}
-		k.Heard = r.hears(now, m) && (m.Zone == r.self.Zone || slices.Contains(relays[m.Zone], address))
-		if k.Lives {
-			k.Ago = 0
+		k := MemberInfo{Member: m.Member, LastSeenAgo: now - m.known, Alive: r.lives(now, m), Leaving: m.leaving}
+		k.Direct = r.hears(now, m) && (m.Zone == r.self.Zone || slices.Contains(relays[m.Zone], address))
+		if k.Alive {
+			k.LastSeenAgo = 0
 		}
 		list = append(list, k)
 	}
@@ -153,14 +153,14 @@
 // Digest is a hash of whom this router believes to live, to tell whether
 // others know of it.
 func (r *Roster) Digest(now time.Duration) uint64 {
-	return DigestOf(r.All(now))
+	return DigestOf(r.Members(now))
 }
 
 // DigestOf is the digest of a list of all routers.
-func DigestOf(list []Known) uint64 {
+func DigestOf(list []MemberInfo) uint64 {
 	digest := uint64(0)
 	for _, k := range list {
-		if k.Lives {
+		if k.Alive {
 			// The order does not matter, so that the sum will do.
 			digest += k.Digest()
 		}
@@ -169,12 +169,12 @@
 }
 
 // Digest is a hash of what is told of one router but for how long ago it was heard.
-func (k *Known) Digest() uint64 {
+func (k *MemberInfo) Digest() uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(k.Inc)
 	_, _ = d.WriteString(k.Address)
 	var flags [3]byte
-	for i, flag := range []bool{k.Lives, k.Heard, k.Leaving} {
+	for i, flag := range []bool{k.Alive, k.Direct, k.Leaving} {
 		if flag {
 			flags[i] = 1
 		}
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -18,19 +18,19 @@
 
 // The times after which a router is believed something else.
 const (
-	// SilentAfter is when a router that is not heard counts as lost, if
+	// SilenceTimeout is when a router that is not heard counts as lost, if
 	// routers tell each other more often than three times in it.
-	SilentAfter = 500 * time.Millisecond
-	// TryEvery is how often a router that is not heard is tried.
-	TryEvery = time.Second
-	// TrySoon is the same within StartsFor of this router's own start: then all
+	SilenceTimeout = 500 * time.Millisecond
+	// ProbeInterval is how often a router that is not heard is tried.
+	ProbeInterval = time.Second
+	// StartupProbeInterval is the same within StartupPeriod of this router's own start: then all
 	// may have been lost at once, and those that are tried come back a moment
 	// after this one. A router that hears of no others takes itself for the
 	// owner of every backend server.
-	TrySoon   = 250 * time.Millisecond
-	StartsFor = 10 * time.Second
-	// SeedEvery is how often a seed is tried that this router need not hear.
-	SeedEvery = 15 * time.Second
+	StartupProbeInterval = 250 * time.Millisecond
+	StartupPeriod        = 10 * time.Second
+	// SeedProbeInterval is how often a seed is tried that this router need not hear.
+	SeedProbeInterval = 15 * time.Second
 	// ForgetAfter is when a router that nobody heard is forgotten, unless it
 	// is a seed.
 	ForgetAfter = 30 * time.Second
@@ -116,7 +116,7 @@
 	r := &Roster{self: self, members: map[string]*member{}, vouched: map[string]*vouching{}, interval: quickest}
 	for _, address := range seeds {
 		if address != self.Address {
-			r.members[address] = &member{Member: Member{Address: address}, tried: -TryEvery, seed: true}
+			r.members[address] = &member{Member: Member{Address: address}, tried: -ProbeInterval, seed: true}
 		}
 	}
 	return r
@@ -132,17 +132,17 @@
 			continue
 		}
 		if _, ok := r.members[address]; !ok {
-			r.members[address] = &member{Member: Member{Address: address}, tried: -TryEvery}
+			r.members[address] = &member{Member: Member{Address: address}, tried: -ProbeInterval}
 		}
 		r.members[address].seed = true
 	}
 }
 
-// Heard notes that a message of a router came. It reports whether the router
+// Observe notes that a message of a router came. It reports whether the router
 // was not believed to live before, or has started anew. One that a relay vouches
 // for is no news: routers that only ask each other for places need not tell each
 // other whom they know.
-func (r *Roster) Heard(now time.Duration, from Member) bool {
+func (r *Roster) Observe(now time.Duration, from Member) bool {
 	if from.Address == r.self.Address {
 		return false
 	}
@@ -165,10 +165,10 @@
 	return news
 }
 
-// Succeed gives this router a later incarnation than that of a former start at its address,
+// RaiseIncarnation gives this router a later incarnation than that of a former start at its address,
 // which others know of, and returns it: a time of day that was set back gives a start a
 // number that others take for a former one. It returns 0 if there is none to succeed.
-func (r *Roster) Succeed() uint64 {
+func (r *Roster) RaiseIncarnation() uint64 {
 	if r.former == 0 {
 		return 0
 	}
@@ -179,22 +179,22 @@
 func (r *Roster) get(now time.Duration, address string) *member {
 	m, ok := r.members[address]
 	if !ok {
-		m = &member{Member: Member{Address: address}, tried: -TryEvery, known: now}
+		m = &member{Member: Member{Address: address}, tried: -ProbeInterval, known: now}
 		r.members[address] = m
 	}
 	return m
 }
 
-// Leaving notes that a router is about to stop.
-func (r *Roster) Leaving(from string) {
+// MarkLeaving notes that a router is about to stop.
+func (r *Roster) MarkLeaving(from string) {
 	if m, ok := r.members[from]; ok {
 		m.leaving = true
 		r.relaysKnown = nil
 	}
 }
 
-// Gone notes that nobody listens at a router's address any more.
-func (r *Roster) Gone(address string) {
+// MarkDown notes that nobody listens at a router's address any more.
+func (r *Roster) MarkDown(address string) {
 	if m, ok := r.members[address]; ok {
 		m.heard = 0
 		m.ended = true
@@ -206,7 +206,7 @@
 
 // silentAfter is when a router that is not heard counts as lost.
 func (r *Roster) silentAfter() time.Duration {
-	return max(SilentAfter, silentIntervals*r.interval)
+	return max(SilenceTimeout, silentIntervals*r.interval)
 }
 
 // hears reports whether messages of the router come here.
@@ -240,9 +240,9 @@
 	return r.filter(func(m *member) bool { return r.lives(now, m) })
 }
 
-// Staying returns the routers that live and are not about to stop, without
+// Active returns the routers that live and are not about to stop, without
 // this one.
-func (r *Roster) Staying(now time.Duration) []string {
+func (r *Roster) Active(now time.Duration) []string {
 	return r.filter(func(m *member) bool { return r.lives(now, m) && !m.leaving })
 }
 
@@ -257,10 +257,10 @@
 	return list
 }
 
-// Tries returns the addresses of routers that are not heard and are to be
+// NextProbes returns the addresses of routers that are not heard and are to be
 // tried now, and notes that they are: of those that should be heard, those
 // that were tried longest ago.
-func (r *Roster) Tries(now time.Duration, t Talk) []string {
+func (r *Roster) NextProbes(now time.Duration, t Plan) []string {
 	every := r.tryEvery(now)
 	list := r.filter(func(m *member) bool {
 		switch since := now - m.tried; {
@@ -269,7 +269,7 @@
 		case r.shouldHear(now, m, t):
 			return true
 		default:
-			return m.seed && since >= SeedEvery
+			return m.seed && since >= SeedProbeInterval
 		}
 	})
 	slices.SortStableFunc(list, func(a, b string) int {
@@ -292,16 +292,16 @@
 	if r.started == 0 {
 		r.started = now
 	}
-	if now-r.started < StartsFor {
-		return TrySoon
+	if now-r.started < StartupPeriod {
+		return StartupProbeInterval
 	}
-	return TryEvery
+	return ProbeInterval
 }
 
 // shouldHear reports whether this router would hear another one if it lived.
-func (r *Roster) shouldHear(now time.Duration, m *member, t Talk) bool {
+func (r *Roster) shouldHear(now time.Duration, m *member, t Plan) bool {
 	switch {
-	case t.Mesh, slices.Contains(t.Members, m.Address), slices.Contains(t.Others, m.Address):
+	case t.Mesh, slices.Contains(t.Peers, m.Address), slices.Contains(t.RemoteRelays, m.Address):
 		return true
 	case !t.Relay:
 		return false
@@ -323,8 +323,8 @@
 	})
 }
 
-// Lately returns how many routers were heard of within a time, with this one.
-func (r *Roster) Lately(now, within time.Duration) int {
+// CountRecent returns how many routers were heard of within a time, with this one.
+func (r *Roster) CountRecent(now, within time.Duration) int {
 	n := 1
 	for _, m := range r.members {
 		if m.Inc > 0 && now-m.known < within {
@@ -366,10 +366,10 @@
 // pause is a time during which this router stood still.
 type pause struct{ from, to time.Duration }
 
-// Paused takes in that this router stood still for a time: it could hear nobody, which says
+// RecordPause takes in that this router stood still for a time: it could hear nobody, which says
 // nothing of the others until it has read what came meanwhile. It would else take itself for
 // the only router, and for the owner of every backend server.
-func (r *Roster) Paused(from, to time.Duration) {
+func (r *Roster) RecordPause(from, to time.Duration) {
 	r.relaysKnown = nil
 	r.pause = pause{from, to}
 }
--- a/pkg/roster/talk.go
+++ b/pkg/roster/talk.go
@@ -17,51 +17,51 @@
 	relayKey = "relay"
 )
 
-// Talk is whom a router tells what, for a while.
-type Talk struct {
+// Plan is whom a router tells what, for a while.
+type Plan struct {
 	// Mesh says that all talk with all.
 	Mesh bool
-	// Relay says that this router is a relay of its zone, First that it is the
+	// Relay says that this router is a relay of its zone, Primary that it is the
 	// one that tells the zone's sums.
-	Relay, First bool
-	// Members are the routers that this one tells as one of their equals:
+	Relay, Primary bool
+	// Peers are the routers that this one tells as one of their equals:
 	// all, or its zone's relays.
-	Members []string
+	Peers []string
 	// Served are the routers of its zone that a relay serves.
 	Served []string
-	// Others are the relays of other zones.
-	Others []string
+	// RemoteRelays are the relays of other zones.
+	RemoteRelays []string
 	// Interval is the time between two tellings.
 	Interval time.Duration
 }
 
-// Talk works out whom this router tells what.
-func (r *Roster) Talk(now time.Duration) Talk {
+// Plan works out whom this router tells what.
+func (r *Roster) Plan(now time.Duration) Plan {
 	live := r.filter(func(m *member) bool { return r.lives(now, m) || r.expected(now, m) })
 	if len(live) < meshUpTo {
 		r.interval = quickest
-		return Talk{Mesh: true, Members: live, Interval: quickest}
+		return Plan{Mesh: true, Peers: live, Interval: quickest}
 	}
 	relays := r.relays(now)
-	t := Talk{}
+	t := Plan{}
 	for _, address := range live {
 		m := r.members[address]
 		switch isRelay := slices.Contains(relays[m.Zone], address); {
 		case m.Zone == r.self.Zone && isRelay:
-			t.Members = append(t.Members, address)
+			t.Peers = append(t.Peers, address)
 		case m.Zone == r.self.Zone:
 			t.Served = append(t.Served, address)
 		case isRelay:
-			t.Others = append(t.Others, address)
+			t.RemoteRelays = append(t.RemoteRelays, address)
 		}
 	}
 	own := relays[r.self.Zone]
 	t.Relay = slices.Contains(own, r.self.Address)
-	t.First = t.Relay && own[0] == r.self.Address
+	t.Primary = t.Relay && own[0] == r.self.Address
 	// The interval is the same at all of the zone.
-	r.interval = min(max(quickest, time.Duration(len(t.Members)+len(t.Served)+len(t.Others))*perMember), slowest)
+	r.interval = min(max(quickest, time.Duration(len(t.Peers)+len(t.Served)+len(t.RemoteRelays))*perMember), slowest)
 	if !t.Relay {
-		t.Served, t.Others = nil, nil
+		t.Served, t.RemoteRelays = nil, nil
 	}
 	t.Interval = r.interval
 	return t
@@ -110,8 +110,8 @@
 	return ok && slices.Contains(r.relays(now)[m.Zone], address)
 }
 
-// FirstRelay returns the relay that tells its zone's sums.
-func (r *Roster) FirstRelay(now time.Duration, zone string) string {
+// PrimaryRelay returns the relay that tells its zone's sums.
+func (r *Roster) PrimaryRelay(now time.Duration, zone string) string {
 	if list := r.relays(now)[zone]; len(list) > 0 {
 		return list[0]
 	}
--- a/pkg/suspect/suspect.go
+++ b/pkg/suspect/suspect.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// MostEnds is how many backend servers may end under a request before it gets no
+	// MaxCrashes is how many backend servers may end under a request before it gets no
 	// other: the operators' rule is three. Two would refuse harmless requests: of a fleet
 	// that loses servers by other causes 1 to 6 in 2,500 were cut off twice.
-	MostEnds = 3
+	MaxCrashes = 3
 	// endsKept is for how long ends are remembered at least. Each that is forgotten costs
 	// another backend server when its request returns, which callers may do at any time; a
 	// request that only was there is forgotten sooner, when it has run to its end.
@@ -28,7 +28,7 @@
 	// firstBar is for how long after its second end a request gets nothing that stands out by
 	// then: two ends may be chance, and the trial after it tells.
 	firstBar = 30 * time.Second
-	// barredFor is for how long after the last end a request under which MostEnds ended
+	// barredFor is for how long after the last end a request under which MaxCrashes ended
 	// gets nothing: a trial may end one more server, which takes it away for seconds with
 	// all that runs there. Each further end makes that barredGrowth times as long, up to
 	// longestBar: a new version of an engine may bear the request, but the longer it has
@@ -55,8 +55,8 @@
 	mostCleared = 1024
 )
 
-// LongestKept is for how long ends are remembered at most.
-const LongestKept = keptAfterBar * longestBar
+// MaxRetention is for how long ends are remembered at most.
+const MaxRetention = keptAfterBar * longestBar
 
 // Digest identifies a request by what its caller sends, whichever try it is.
 type Digest uint64
@@ -64,8 +64,8 @@
 // Server names a start of a backend server.
 type Server uint32
 
-// End says that a backend server ended while a request was under way there.
-type End struct {
+// Crash says that a backend server ended while a request was under way there.
+type Crash struct {
 	Digest Digest
 	Server Server
 	At     time.Duration
@@ -73,29 +73,29 @@
 	Sent time.Duration
 	// Unanswered says that it had not begun to answer.
 	Unanswered bool
-	// More is how many more ends than MostEnds the request may have, by what the router that
+	// Extra is how many more ends than MaxCrashes the request may have, by what the router that
 	// tells of it knows.
-	More int
+	Extra int
 }
 
-// Standing is what the ends of a request say of it.
-type Standing struct {
-	// Ends is how many backend servers ended under it.
-	Ends int
-	// Last is when the last of them did.
-	Last time.Duration
-	// Until is until when it gets nothing, 0 if it may be sent.
-	Until time.Duration
+// Status is what the ends of a request say of it.
+type Status struct {
+	// Crashes is how many backend servers ended under it.
+	Crashes int
+	// LastCrash is when the last of them did.
+	LastCrash time.Duration
+	// BlockedUntil is until when it gets nothing, 0 if it may be sent.
+	BlockedUntil time.Duration
 }
 
-// Barred reports whether the request gets nothing now.
-func (s Standing) Barred(now time.Duration) bool { return now < s.Until }
+// Blocked reports whether the request gets nothing now.
+func (s Status) Blocked(now time.Duration) bool { return now < s.BlockedUntil }
 
 // request is what is remembered of one.
 type request struct {
 	// ends are of different servers, the oldest first.
-	ends []End
-	// more is how many more than MostEnds there may be, by how often it had run before.
+	ends []Crash
+	// more is how many more than MaxCrashes there may be, by how often it had run before.
 	more int
 }
 
@@ -104,7 +104,7 @@
 // bar returns for how long after the last end the request gets nothing if it is barred.
 func (r *request) bar() time.Duration {
 	d := barredFor
-	for range len(r.ends) - MostEnds - r.more {
+	for range len(r.ends) - MaxCrashes - r.more {
 		d = min(longestBar, barredGrowth*d)
 	}
 	return d
@@ -112,36 +112,36 @@
 
 // kept returns for how long after the last end it is remembered.
 func (r *request) kept() time.Duration {
-	if len(r.ends) < MostEnds+r.more {
+	if len(r.ends) < MaxCrashes+r.more {
 		return endsKept
 	}
 	return max(endsKept, keptAfterBar*r.bar())
 }
 
-// Why is why ends of a request are not remembered any more.
-type Why string
+// Reason is why ends of a request are not remembered any more.
+type Reason string
 
 const (
-	// WhyRan: the request has run to its end.
-	WhyRan Why = "ran"
-	// WhyLives: the backend server turned out to live.
-	WhyLives Why = "lives"
-	// WhyOld: they are as old as ends are remembered.
-	WhyOld Why = "old"
-	// WhyRoom: there were too many requests, and others had more ends.
-	WhyRoom Why = "room"
+	// ReasonCompleted: the request has run to its end.
+	ReasonCompleted Reason = "ran"
+	// ReasonAlive: the backend server turned out to live.
+	ReasonAlive Reason = "lives"
+	// ReasonExpired: they are as old as ends are remembered.
+	ReasonExpired Reason = "old"
+	// ReasonEvicted: there were too many requests, and others had more ends.
+	ReasonEvicted Reason = "room"
 )
 
 // Cleared are ends of a request that are not remembered any more.
 type Cleared struct {
 	Digest Digest
-	// Ends is how many, above 0.
-	Ends int
-	Why  Why
+	// Crashes is how many, above 0.
+	Crashes int
+	Reason  Reason
 }
 
-// Table is what one router remembers.
-type Table struct {
+// Tracker is what one router remembers.
+type Tracker struct {
 	requests map[Digest]*request
 	// cleared is what was forgotten or taken back and not fetched yet.
 	cleared []Cleared
@@ -154,16 +154,16 @@
 }
 
 // New returns an empty table.
-func New() *Table {
-	return &Table{requests: map[Digest]*request{}, at: map[Server]int{}, ran: map[Digest]int{}}
+func New() *Tracker {
+	return &Tracker{requests: map[Digest]*request{}, at: map[Server]int{}, ran: map[Digest]int{}}
 }
 
 // Len returns how many requests are remembered.
-func (t *Table) Len() int { return len(t.requests) }
+func (t *Tracker) Len() int { return len(t.requests) }
 
-// Note takes in an end, and reports whether it is news.
-func (t *Table) Note(now time.Duration, e End) bool {
-	if e.Digest == 0 || now-e.At >= LongestKept {
+// Record takes in an end, and reports whether it is news.
+func (t *Tracker) Record(now time.Duration, e Crash) bool {
+	if e.Digest == 0 || now-e.At >= MaxRetention {
 		return false
 	}
 	e.At = min(e.At, now)
@@ -174,9 +174,9 @@
 		r = &request{}
 		t.requests[e.Digest] = r
 	}
-	r.more = min(mostServers-MostEnds, max(r.more, e.More, t.trialsMore(e.Digest)))
-	e.More = 0
-	if i := slices.IndexFunc(r.ends, func(x End) bool { return x.Server == e.Server }); i >= 0 {
+	r.more = min(mostServers-MaxCrashes, max(r.more, e.Extra, t.trialsMore(e.Digest)))
+	e.Extra = 0
+	if i := slices.IndexFunc(r.ends, func(x Crash) bool { return x.Server == e.Server }); i >= 0 {
 		return r.join(i, e)
 	}
 	if len(r.ends) == mostServers {
@@ -192,7 +192,7 @@
 // join takes in what another router tells of an end that is known: several tries may have
 // been under way there. It reports whether that shows for the first time that a try was
 // sent after the first end, or that one had begun to answer.
-func (r *request) join(i int, e End) bool {
+func (r *request) join(i int, e Crash) bool {
 	before, x := r.repeated(), &r.ends[i]
 	answered := x.Unanswered && !e.Unanswered
 	x.Sent = max(x.Sent, e.Sent)
@@ -200,27 +200,27 @@
 	return answered || !before && r.repeated()
 }
 
-func byTime(a, b End) int {
+func byTime(a, b Crash) int {
 	return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Server, b.Server))
 }
 
-// Remembers reports whether any end at a server is remembered.
-func (t *Table) Remembers(server Server) bool { return t.at[server] > 0 }
+// HasCrash reports whether any end at a server is remembered.
+func (t *Tracker) HasCrash(server Server) bool { return t.at[server] > 0 }
 
-// Lives takes back the ends at a server in a time, from and up to two moments, during which
+// MarkAlive takes back the ends at a server in a time, from and up to two moments, during which
 // it did not end.
-func (t *Table) Lives(server Server, from, to time.Duration) {
-	if !t.Remembers(server) {
+func (t *Tracker) MarkAlive(server Server, from, to time.Duration) {
+	if !t.HasCrash(server) {
 		return
 	}
 	for d, r := range t.requests {
-		t.take(d, r, WhyLives, func(e End) bool { return e.Server == server && from <= e.At && e.At < to })
+		t.take(d, r, ReasonAlive, func(e Crash) bool { return e.Server == server && from <= e.At && e.At < to })
 	}
 }
 
-// Ran takes back the ends of a request that has run to its end, and reports whether there
+// MarkCompleted takes back the ends of a request that has run to its end, and reports whether there
 // were any.
-func (t *Table) Ran(now time.Duration, d Digest) bool {
+func (t *Tracker) MarkCompleted(now time.Duration, d Digest) bool {
 	if d == 0 {
 		return false
 	}
@@ -230,26 +230,26 @@
 	t.ran[d]++
 	r, ok := t.requests[d]
 	if ok {
-		t.take(d, r, WhyRan, allEnds)
+		t.take(d, r, ReasonCompleted, allEnds)
 	}
 	return ok
 }
 
-// Standing returns what the ends of a request say of it.
-func (t *Table) Standing(now time.Duration, d Digest) Standing {
+// Status returns what the ends of a request say of it.
+func (t *Tracker) Status(now time.Duration, d Digest) Status {
 	r, ok := t.requests[d]
 	if !ok || now-r.last() >= r.kept() {
-		return Standing{}
+		return Status{}
 	}
-	s := Standing{Ends: len(r.ends), Last: r.last()}
-	if s.Ends < MostEnds {
+	s := Status{Crashes: len(r.ends), LastCrash: r.last()}
+	if s.Crashes < MaxCrashes {
 		if r.more == 0 && t.standsOut(r) {
-			s.Until = s.Last + firstBar
+			s.BlockedUntil = s.LastCrash + firstBar
 		}
 		return s
 	}
-	if (r.repeated() || r.last()-r.ends[0].At > oneMoment) && s.Ends >= MostEnds+r.more {
-		s.Until = r.last() + r.bar()
+	if (r.repeated() || r.last()-r.ends[0].At > oneMoment) && s.Crashes >= MaxCrashes+r.more {
+		s.BlockedUntil = r.last() + r.bar()
 	}
 	return s
 }
@@ -258,8 +258,8 @@
 // was sent after the first end and had not begun to answer when that server ended, nothing
 // else was there that had been at an end before, and no other server ended in that moment.
 // Such a try takes less than a second, in which a server hardly ends by another cause.
-func (t *Table) standsOut(r *request) bool {
-	if len(r.ends) < MostEnds-1 {
+func (t *Tracker) standsOut(r *request) bool {
+	if len(r.ends) < MaxCrashes-1 {
 		return false
 	}
 	first, last := r.ends[0], r.ends[len(r.ends)-1]
@@ -280,7 +280,7 @@
 
 // explains reports whether a request may be the cause of an end of another one, or shows
 // that servers end by other causes at that moment.
-func (r *request) explains(first, last End) bool {
+func (r *request) explains(first, last Crash) bool {
 	for _, e := range r.ends {
 		switch {
 		case e.Server == last.Server:
@@ -304,43 +304,43 @@
 // for a run, and one more each time that there were twice as many. Callers poll with such a
 // request, so that some of its tries are at each end of a server, whatever the cause. A run
 // takes all ends back.
-func (t *Table) trialsMore(d Digest) int {
-	return min(mostServers-MostEnds, bits.Len(uint(t.ran[d]+t.ranBefore[d])))
+func (t *Tracker) trialsMore(d Digest) int {
+	return min(mostServers-MaxCrashes, bits.Len(uint(t.ran[d]+t.ranBefore[d])))
 }
 
 // repeated reports whether any of the ends was under a try that was sent after the first
 // end.
 func (r *request) repeated() bool {
 	first := r.ends[0].At
-	return slices.ContainsFunc(r.ends, func(e End) bool { return e.Sent > first })
+	return slices.ContainsFunc(r.ends, func(e Crash) bool { return e.Sent > first })
 }
 
 // Expire forgets what is old.
-func (t *Table) Expire(now time.Duration) {
+func (t *Tracker) Expire(now time.Duration) {
 	for d, r := range t.requests {
 		if now-r.last() >= r.kept() {
-			t.take(d, r, WhyOld, allEnds)
+			t.take(d, r, ReasonExpired, allEnds)
 		}
 	}
 }
 
-// Worst returns the ends of the requests under which most servers ended, as many as fit.
-func (t *Table) Worst(most int) []End {
-	var list []End
+// TopCrashes returns the ends of the requests under which most servers ended, as many as fit.
+func (t *Tracker) TopCrashes(most int) []Crash {
+	var list []Crash
 	for _, r := range t.byEnds() {
 		if len(list)+len(r.ends) > most {
 			break
 		}
 		for _, e := range r.ends {
-			e.More = r.more
+			e.Extra = r.more
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// MoreOf returns how many more ends than MostEnds a request may have.
-func (t *Table) MoreOf(d Digest) int {
+// ExtraAllowed returns how many more ends than MaxCrashes a request may have.
+func (t *Tracker) ExtraAllowed(d Digest) int {
 	if r, ok := t.requests[d]; ok {
 		return r.more
 	}
@@ -348,7 +348,7 @@
 }
 
 // byEnds returns the requests with the most ends first, of equals the latest.
-func (t *Table) byEnds() []*request {
+func (t *Tracker) byEnds() []*request {
 	list := make([]*request, 0, len(t.requests))
 	for _, r := range t.requests {
 		list = append(list, r)
@@ -361,7 +361,7 @@
 
 // makeRoom drops a part of the requests where there are too many: those with the fewest
 // ends, the oldest first, so that a flood of new ones does not make the worst forgotten.
-func (t *Table) makeRoom(now time.Duration) {
+func (t *Tracker) makeRoom(now time.Duration) {
 	if len(t.requests) < mostRequests {
 		return
 	}
@@ -371,30 +371,30 @@
 	}
 	list := t.byEnds()
 	for _, r := range list[len(list)-mostRequests/dropPart:] {
-		t.take(r.ends[0].Digest, r, WhyRoom, allEnds)
+		t.take(r.ends[0].Digest, r, ReasonEvicted, allEnds)
 	}
 }
 
 // allEnds says that an end is one of all.
-func allEnds(End) bool { return true }
+func allEnds(Crash) bool { return true }
 
-// Cleared returns what was forgotten or taken back since the last call. What exceeds
+// DrainCleared returns what was forgotten or taken back since the last call. What exceeds
 // mostCleared is not told.
-func (t *Table) Cleared() []Cleared {
+func (t *Tracker) DrainCleared() []Cleared {
 	list := t.cleared
 	t.cleared = nil
 	return list
 }
 
 // take takes some ends of a request back, and the request with its last.
-func (t *Table) take(d Digest, r *request, why Why, which func(End) bool) {
+func (t *Tracker) take(d Digest, r *request, why Reason, which func(Crash) bool) {
 	before := len(r.ends)
 	defer func() {
 		if n := before - len(r.ends); n > 0 && len(t.cleared) < mostCleared {
-			t.cleared = append(t.cleared, Cleared{Digest: d, Ends: n, Why: why})
+			t.cleared = append(t.cleared, Cleared{Digest: d, Crashes: n, Reason: why})
 		}
 	}()
-	r.ends = slices.DeleteFunc(r.ends, func(e End) bool {
+	r.ends = slices.DeleteFunc(r.ends, func(e Crash) bool {
 		if !which(e) {
 			return false
 		}
@@ -406,7 +406,7 @@
 	}
 }
 
-func (t *Table) forgetEnd(e End) {
+func (t *Tracker) forgetEnd(e Crash) {
 	if t.at[e.Server]--; t.at[e.Server] <= 0 {
 		delete(t.at, e.Server)
 	}
--- a/pkg/wire/place.go
+++ b/pkg/wire/place.go
@@ -210,4 +210,4 @@
 type NewsAsk struct{ Epoch, After uint64 }
 
 // News is what the platform published.
-type News struct{ catalog.News }
+type News struct{ catalog.Update }
--- a/pkg/wire/wire_test.go
+++ b/pkg/wire/wire_test.go
@@ -33,12 +33,12 @@
 		&wire.NewsAsk{After: 4},
 		&wire.Forward{Stream: 3, Revision: 8, Data: []byte("POST /")},
 		&wire.ForwardData{Stream: 3, Answer: true, Number: 2, Taken: 1, Data: []byte("x"), End: true, Refused: true},
-		&wire.News{News: catalog.News{Epoch: 3, EpochAge: time.Second, After: 4, AsOf: 4, Jumps: []catalog.Jump{{From: 2, To: 4}}, Retained: &catalog.Retained{
+		&wire.News{Update: catalog.Update{Epoch: 3, EpochAge: time.Second, After: 4, AsOf: 4, Jumps: []catalog.Jump{{From: 2, To: 4}}, Retained: &catalog.Retained{
 			Table:   &table.Table{Edition: 7, Revision: 9},
 			Servers: []catalog.RetainedServer{{Server: catalog.Server{Revision: 9, Gone: true, Last: 8, Backend: table.Backend{Name: "s"}}, Override: catalog.Override{Origin: catalog.Revision{Epoch: 2, Number: 9}, Over: 3, Left: time.Second}}},
 			Zones:   []catalog.RetainedZone{{Zone: catalog.Zone{Revision: 4, Name: "z", Closed: true}, Override: catalog.Override{Left: 1}}},
 		}}},
-		&wire.News{News: catalog.News{After: 4, AsOf: 9, Table: &table.Table{Revision: 8, Routes: []table.Route{{Name: "r", Timeout: time.Second}}}, Servers: []catalog.Server{{Revision: 9, Gone: true, Backend: table.Backend{Name: "s"}}}}},
+		&wire.News{Update: catalog.Update{After: 4, AsOf: 9, Table: &table.Table{Revision: 8, Routes: []table.Route{{Name: "r", Timeout: time.Second}}}, Servers: []catalog.Server{{Revision: 9, Gone: true, Backend: table.Backend{Name: "s"}}}}},
 	}
 }
 
