--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -45,7 +45,7 @@
 	SuspectCount int       `json:"suspect_count"`
 	// TerminationsCleared counts the backend terminations that are no longer tracked, by
 	// reason.
-	TerminationsCleared map[suspect.Why]int64 `json:"ends_cleared,omitempty"`
+	TerminationsCleared map[suspect.Reason]int64 `json:"ends_cleared,omitempty"`
 	// ClosedZones are the availability zones that operators have closed, Warming how
 	// many backend servers warm up.
 	ClosedZones []string `json:"closed_zones"`
@@ -81,7 +81,7 @@
 		ClosedZones: s.closed, Warming: s.core.Warming(), SuspendedMillis: s.suspended.Milliseconds(),
 	}
 	st.Unusable, st.UnusableCount = s.unusableEntries()
-	st.UnusableTotal = s.catalog.Damaged()
+	st.UnusableTotal = s.catalog.UnusableTotals()
 	st.Untrusted = slices.Sorted(maps.Keys(s.untrusted))
 	s.publishWords(st)
 	st.Suspects, st.SuspectCount = s.suspects()
