--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -34,11 +34,11 @@
 	o := config.Defaults().Objectives
 	a, b := burn.New("a", o, burn.WithClock(c.read)), burn.New("b", o, burn.WithClock(c.read))
 	for range 95 {
-		a.Answered(outcome(200, "", "ran", time.Second))
+		a.RequestEnded(outcome(200, "", "ran", time.Second))
 	}
 	for range 5 {
-		b.Answered(outcome(502, "answer-cut", "may-have-run", 0))
-		a.Answered(outcome(400, "bad-json", "not-run", 0))
+		b.RequestEnded(outcome(502, "answer-cut", "may-have-run", 0))
+		a.RequestEnded(outcome(400, "bad-json", "not-run", 0))
 	}
 	merge := func() *burn.Report {
 		r, err := burn.Merge([]burn.Snapshot{a.Snapshot(), b.Snapshot()}, []string{"c"})
--- a/internal/burn/window.go
+++ b/internal/burn/window.go
@@ -117,8 +117,8 @@
 	return w
 }
 
-// Answered implements front.Observer.
-func (w *Window) Answered(o front.Outcome) {
+// RequestEnded implements front.Observer.
+func (w *Window) RequestEnded(o front.Outcome) {
 	if o.Account == "" || callersFault(o) {
 		return
 	}
--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -66,13 +66,13 @@
 		return front.Grant{}, got.err
 	}
 	return front.Grant{
-		ID: got.id, Backend: got.start.Backend.Name, Address: got.start.Backend.Address, Born: got.start.Backend.Born, Why: got.start.Why,
-		FetchFrom: got.start.FetchFrom, Connections: d.connectionsPart(r.Model),
-		Ahead: got.start.Ahead, Expected: got.start.Expected, Running: got.start.Running,
+		ID: got.id, Backend: got.start.Backend.Name, Address: got.start.Backend.Address, StartTime: got.start.Backend.Born, Reason: got.start.Why,
+		CopyPrefixFrom: got.start.FetchFrom, MaxConnections: d.connectionsPart(r.Model),
+		TokensAhead: got.start.Ahead, ExpectedFirstEvent: got.start.Expected, Running: got.start.Running,
 		Served: got.served, Waited: r.Waited + got.waited,
-		First:   func() { d.post(began{got.id}) },
-		Said:    func(w backend.Said) { d.post(said{got.id, w}) },
-		Hurried: d.Hurried,
+		OnFirstEvent: func() { d.post(began{got.id}) },
+		OnNotice:     func(w backend.Said) { d.post(said{got.id, w}) },
+		Saturated:    d.Hurried,
 		// A router that stood still for longer has lost its place to another.
 		MayStart: func() bool { return d.now()-got.at < d.startWithin() },
 	}, nil
@@ -121,7 +121,7 @@
 // wasCut reports whether the backend server broke off while the request was under way
 // there. One that falls silent may only be slow, as all are where a machine has no time.
 func wasCut(u front.Usage) bool {
-	return u.Error != nil && u.Sent && !u.Silent && (u.Error.Code == "answer-cut" || u.Error.Code == "backend-broke")
+	return u.Error != nil && u.Sent && !u.Stalled && (u.Error.Code == "answer-cut" || u.Error.Code == "backend-broke")
 }
 
 // resultOf tells what an attempt's end says of the backend server.
@@ -131,9 +131,9 @@
 		return admit.Failed
 	case u.Error == nil:
 		return admit.Answered
-	case u.Silent:
+	case u.Stalled:
 		return admit.Silent
-	case u.Failed:
+	case u.Unreachable:
 		return admit.Unreached
 	}
 	switch u.Error.Code {
@@ -150,8 +150,8 @@
 	}
 }
 
-// MayRetry implements front.Scheduler.
-func (d *Dispatcher) MayRetry(r front.Request) bool {
+// SpendRetry implements front.Scheduler.
+func (d *Dispatcher) SpendRetry(r front.Request) bool {
 	answer := make(chan bool, 1)
 	if !d.post(spend{r.Model, answer}) {
 		return false
@@ -181,7 +181,7 @@
 	id := s.nextID
 	s.waiting[id] = e.attempt
 	if s.d.opt.weights && s.d.Draining() {
-		s.reply(id, decision{err: errDraining.After(time.Second)})
+		s.reply(id, decision{err: errDraining.WithRetryAfter(time.Second)})
 		return
 	}
 	r := &e.request
@@ -190,9 +190,9 @@
 	}
 	s.step(admit.Arrive{Request: admit.Request{
 		ID: id, Service: r.Model, Account: r.Account, AccountRank: r.AccountRank, Rank: r.Rank, Prefix: r.Prefix,
-		Prompt: r.Prompt, Shared: r.Shared, Output: r.Output, Target: r.Target, Patience: r.Patience,
-		Deadline: s.now + r.Deadline.Sub(e.at), Again: r.Attempt > 0, Begun: r.Begun, Avoid: r.Avoid,
-		Answering: r.Answering, Digest: e.digest, Priority: r.Priority,
+		Prompt: r.Prompt, Shared: r.Shared, Output: r.Output, Target: r.Target, Patience: r.MaxWait,
+		Deadline: s.now + r.Deadline.Sub(e.at), Again: r.Attempt > 0, Begun: r.MayHaveRun, Avoid: r.Avoid,
+		Answering: r.Resuming, Digest: e.digest, Priority: r.Priority,
 	}})
 }
 
@@ -236,7 +236,7 @@
 	}
 	for id := range s.waiting {
 		s.step(admit.Cancel{ID: id})
-		s.reply(id, decision{err: errDraining.After(time.Second)})
+		s.reply(id, decision{err: errDraining.WithRetryAfter(time.Second)})
 	}
 }
 
--- a/internal/dispatch/acquire_test.go
+++ b/internal/dispatch/acquire_test.go
@@ -38,7 +38,7 @@
 // TestWasCut looks which ends of attempts are ends of their backend servers.
 func TestWasCut(t *testing.T) {
 	usage := func(code string, sent, silent bool) front.Usage {
-		return front.Usage{Sent: sent, Silent: silent, Error: verdict.New(verdict.PhaseStream, http.StatusBadGateway, code, "")}
+		return front.Usage{Sent: sent, Stalled: silent, Error: verdict.New(verdict.PhaseStream, http.StatusBadGateway, code, "")}
 	}
 	tests := map[string]struct {
 		usage front.Usage
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -73,8 +73,8 @@
 func (d *Dispatcher) Claim(ctx context.Context, cl front.Claim) error {
 	answer := make(chan error, 1)
 	msg := &wire.Claim{Key: keyOf(cl), Request: cl.Request}
-	if !cl.At.IsZero() {
-		msg.At = cl.At.UnixMilli()
+	if !cl.FirstUsed.IsZero() {
+		msg.At = cl.FirstUsed.UnixMilli()
 	}
 	if !d.post(claimKey{&claiming{msg: msg, answer: answer}}) {
 		return errGone
@@ -191,7 +191,7 @@
 	case wire.ClaimUnknown:
 		return errKeyUnknown
 	default:
-		return errKeyHome.After(keyHomeRetryAfter)
+		return errKeyHome.WithRetryAfter(keyHomeRetryAfter)
 	}
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -134,11 +134,11 @@
 
 // Forwarder hands callers' connections on to other routers.
 type Forwarder interface {
-	// SetNeighbours replaces the routers that take some, KeepOnly ends what is under
+	// SetPeers replaces the routers that take some, EndStreamsExcept ends what is under
 	// way with all that do not live, Lost with one.
-	SetNeighbours(list []forward.Neighbour)
-	KeepOnly(live map[string]bool)
-	Lost(address string)
+	SetPeers(list []forward.Peer)
+	EndStreamsExcept(live map[string]bool)
+	EndStreams(address string)
 }
 
 // WithForwarder sets who is told of the other routers to which connections may be handed.
--- a/internal/dispatch/fleet_flood_test.go
+++ b/internal/dispatch/fleet_flood_test.go
@@ -264,7 +264,7 @@
 func (f *floodFleet) take(r *fleetRouter, a *floodAccount, tokens, level float64) bool {
 	late := r.late()
 	req := front.Request{Account: a.name, Prompt: int64(tokens), Deadline: time.Now().Add(time.Minute)}
-	if err := r.s.d.Screen(req); err != nil {
+	if err := r.s.d.CheckAdmission(req); err != nil {
 		if err.Code == "overloaded" && r.s.d.MayForward(req) {
 			return f.handOn(r, a, tokens, level)
 		}
@@ -278,13 +278,13 @@
 // it has no time either.
 func (f *floodFleet) handOn(r *fleetRouter, a *floodAccount, tokens, level float64) bool {
 	to := r.zone[f.rng.IntN(len(r.zone))]
-	if to == r || to.s.d.Refusing() || to.s.d.Overloaded() {
+	if to == r || to.s.d.Shedding() || to.s.d.Overloaded() {
 		r.backlog += handedOn
 		return false
 	}
 	r.backlog += handedOn
 	r.spendLater(handedAnswer)
-	if err := to.s.d.Screen(front.Request{Account: a.name, Prompt: int64(tokens), Forwarded: true}); err != nil {
+	if err := to.s.d.CheckAdmission(front.Request{Account: a.name, Prompt: int64(tokens), Forwarded: true}); err != nil {
 		to.backlog += earlyRefusal
 		return false
 	}
--- a/internal/dispatch/flood_test.go
+++ b/internal/dispatch/flood_test.go
@@ -129,7 +129,7 @@
 
 // take takes a request in or returns when its caller is to come back.
 func (r *floodedRouter) take(q front.Request) (comeBack time.Duration) {
-	if err := r.s.d.Screen(q); err != nil {
+	if err := r.s.d.CheckAdmission(q); err != nil {
 		r.backlog += refusalCost
 		return err.RetryAfter
 	}
--- a/internal/dispatch/members.go
+++ b/internal/dispatch/members.go
@@ -62,19 +62,19 @@
 	if f == nil {
 		return
 	}
-	var list []forward.Neighbour
+	var list []forward.Peer
 	for _, r := range s.routers {
 		if r.Zone == s.d.id.Zone {
-			list = append(list, forward.Neighbour{Address: r.Address, Capacity: r.Share()})
+			list = append(list, forward.Peer{Address: r.Address, Capacity: r.Share()})
 		}
 	}
 	s.neighbours = len(list)
-	f.SetNeighbours(list)
+	f.SetPeers(list)
 	live := map[string]bool{}
 	for _, address := range s.roster.Live(s.now) {
 		live[address] = true
 	}
-	f.KeepOnly(live)
+	f.EndStreamsExcept(live)
 }
 
 // takeTurn finds this router's place among those that read the platform.
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -43,8 +43,8 @@
 // for each that is refused.
 const refusingFrom = 20
 
-// Refusing implements front.Scheduler.
-func (d *Dispatcher) Refusing() bool { return d.Hurried() || d.shared.refusing.Load() }
+// Shedding implements front.Scheduler.
+func (d *Dispatcher) Shedding() bool { return d.Hurried() || d.shared.refusing.Load() }
 
 // seeWhetherOverloaded tells balancers to send new connections elsewhere while
 // this router can work on a small part of its requests only.
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -211,7 +211,7 @@
 func (e lost) apply(s *state) {
 	s.link(e.Peer).digest = 0
 	if f := s.d.opt.forwarder; f != nil {
-		f.Lost(e.Peer)
+		f.EndStreams(e.Peer)
 	}
 	if !e.Refused {
 		return
--- a/internal/dispatch/screen.go
+++ b/internal/dispatch/screen.go
@@ -61,8 +61,8 @@
 	return screen{plan: admit.Plan{Each: math.Inf(1)}, left: math.MaxInt, tallies: map[wire.Key]*tally{}}
 }
 
-// Screen implements front.Scheduler.
-func (d *Dispatcher) Screen(r front.Request) *verdict.Error {
+// CheckAdmission implements front.Scheduler.
+func (d *Dispatcher) CheckAdmission(r front.Request) *verdict.Error {
 	if r.Account == "" {
 		return nil
 	}
@@ -73,11 +73,11 @@
 	}
 	// Balancers send a caller to the same router again: one that comes back soon is
 	// refused again, in the time that is left for work.
-	later := front.RetryLater(d.opt.clock.Until(r.Deadline))
+	later := front.RetryDelay(d.opt.clock.Until(r.Deadline))
 	if !within {
-		return errOverShare.After(later)
+		return errOverShare.WithRetryAfter(later)
 	}
-	return errOverloaded.After(later)
+	return errOverloaded.WithRetryAfter(later)
 }
 
 // partOf returns the part of an account's requests that is worked on.
--- a/internal/dispatch/screen_test.go
+++ b/internal/dispatch/screen_test.go
@@ -37,7 +37,7 @@
 			d.screen.tallies[key] = &tally{left: tc.inTime * asks}
 			in, codes := 0, map[string]int{}
 			for range asks {
-				err := d.Screen(front.Request{Account: "moka", Prompt: 10})
+				err := d.CheckAdmission(front.Request{Account: "moka", Prompt: 10})
 				if err == nil {
 					in++
 					continue
@@ -70,7 +70,7 @@
 	d.screen.left = most
 	in := 0
 	for range 1000 {
-		if d.Screen(front.Request{Account: "moka", Prompt: 10}) == nil {
+		if d.CheckAdmission(front.Request{Account: "moka", Prompt: 10}) == nil {
 			in++
 		}
 	}
@@ -90,7 +90,7 @@
 	handed := 0
 	for range asks {
 		r := front.Request{Account: "moka", Prompt: 10}
-		if err := d.Screen(r); err != nil && d.MayForward(r) {
+		if err := d.CheckAdmission(r); err != nil && d.MayForward(r) {
 			handed++
 		}
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -22,17 +22,17 @@
 // Sender sends messages to other routers by their addresses and does not wait.
 type Sender interface{ Send(to string, msg any) }
 
-// Front serves the connections that others hand on.
-type Front interface {
-	// TakesForwarded reports whether it has time for one more, and knows the table of
+// Server serves the connections that others hand on.
+type Server interface {
+	// AcceptsForwarded reports whether it has time for one more, and knows the table of
 	// a revision.
-	TakesForwarded(by table.Version) bool
+	AcceptsForwarded(by table.Version) bool
 	// ServeForwarded serves a connection to its end.
 	ServeForwarded(c net.Conn)
 }
 
-// Neighbour is a router that connections may be handed to.
-type Neighbour struct {
+// Peer is a router that connections may be handed to.
+type Peer struct {
 	Address string
 	// Capacity is its share of processors, above 0.
 	Capacity float64
@@ -54,13 +54,13 @@
 type Forwarder struct {
 	clock *clock.Clock
 	send  Sender
-	front Front
+	front Server
 	// gather is for how long answers are collected before more of them is sent back.
 	gather func() time.Duration
 
 	mu         sync.Mutex
 	lastID     uint64
-	neighbours []Neighbour
+	neighbours []Peer
 	// busy are the neighbours that took no connection, until when.
 	busy map[string]time.Time
 	// out are the streams handed on, in those that others handed on.
@@ -78,8 +78,10 @@
 // Option changes a new Forwarder.
 type Option func(*Forwarder)
 
-// WithGather sets for how long answers are collected before more of them is sent back.
-func WithGather(gather func() time.Duration) Option { return func(f *Forwarder) { f.gather = gather } }
+// WithBatchDelay sets for how long answers are collected before more of them is sent back.
+func WithBatchDelay(gather func() time.Duration) Option {
+	return func(f *Forwarder) { f.gather = gather }
+}
 
 // WithClock sets the clock by which streams are given up.
 func WithClock(c *clock.Clock) Option { return func(f *Forwarder) { f.clock = c } }
@@ -97,16 +99,16 @@
 	return f
 }
 
-// Use sets what messages go by, and what serves connections that others hand on.
-func (f *Forwarder) Use(send Sender, front Front) {
+// Bind sets what messages go by, and what serves connections that others hand on.
+func (f *Forwarder) Bind(send Sender, front Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.send, f.front = send, front
 }
 
-// SetNeighbours replaces the routers that connections may be handed to. What was handed
+// SetPeers replaces the routers that connections may be handed to. What was handed
 // to others goes on: they may be leaving.
-func (f *Forwarder) SetNeighbours(list []Neighbour) {
+func (f *Forwarder) SetPeers(list []Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.neighbours = list
@@ -117,13 +119,13 @@
 	f.endAll(func(string) bool { return true })
 }
 
-// Lost takes in that messages to or from a router may be lost: its streams cannot go on.
-func (f *Forwarder) Lost(address string) {
+// EndStreams takes in that messages to or from a router may be lost: its streams cannot go on.
+func (f *Forwarder) EndStreams(address string) {
 	f.endAll(func(a string) bool { return a == address })
 }
 
-// KeepOnly ends the streams at or from routers that do not live.
-func (f *Forwarder) KeepOnly(live map[string]bool) {
+// EndStreamsExcept ends the streams at or from routers that do not live.
+func (f *Forwarder) EndStreamsExcept(live map[string]bool) {
 	f.endAll(func(a string) bool { return !live[a] })
 }
 
@@ -151,8 +153,8 @@
 	}
 }
 
-// Take takes a message that belongs to a stream, and reports whether it was one.
-func (f *Forwarder) Take(in peer.Inbound) bool {
+// Handle takes a message that belongs to a stream, and reports whether it was one.
+func (f *Forwarder) Handle(in peer.Inbound) bool {
 	switch m := in.Msg.(type) {
 	case *wire.Forward:
 		f.mu.Lock()
@@ -186,7 +188,7 @@
 func (f *Forwarder) choose(now time.Time, asked string) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	may := func(n Neighbour) bool { return n.Address != asked && !now.Before(f.busy[n.Address]) }
+	may := func(n Peer) bool { return n.Address != asked && !now.Before(f.busy[n.Address]) }
 	sum := 0.0
 	for _, n := range f.neighbours {
 		if may(n) {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -59,7 +59,7 @@
 				select {
 				case in := <-link:
 					if target != nil {
-						target.Take(in)
+						target.Handle(in)
 					}
 				case <-s.n.done:
 					return
@@ -80,8 +80,8 @@
 	ran   []string
 }
 
-func (s *server) TakesForwarded(table.Version) bool { return s.takes }
-func (s *server) ServeForwarded(c net.Conn)         { s.conns <- c }
+func (s *server) AcceptsForwarded(table.Version) bool { return s.takes }
+func (s *server) ServeForwarded(c net.Conn)           { s.conns <- c }
 func (s *server) Accept() (net.Conn, error) {
 	c, ok := <-s.conns
 	if !ok {
@@ -124,13 +124,13 @@
 			handler(out, r)
 		}), ReadHeaderTimeout: generous}
 		go func() { _ = srv.http.Serve(srv) }()
-		f.Use(sender{w.net, name}, srv)
+		f.Bind(sender{w.net, name}, srv)
 		w.net.at[name], w.servers[name] = f, srv
 		if name == "a" {
 			w.first = f
 		}
 	}
-	w.first.SetNeighbours([]forward.Neighbour{{Address: "b", Capacity: 1}, {Address: "c", Capacity: 1}})
+	w.first.SetPeers([]forward.Peer{{Address: "b", Capacity: 1}, {Address: "c", Capacity: 1}})
 	t.Cleanup(func() {
 		for _, f := range w.net.at {
 			f.Close()
@@ -146,7 +146,7 @@
 
 // call has a caller send a request by the first router, its body in pieces, and returns
 // what became of it and the connection's other end.
-func (w *world) call(first string, until time.Duration) (caller net.Conn, became chan forward.Forwarded) {
+func (w *world) call(first string, until time.Duration) (caller net.Conn, became chan forward.Result) {
 	w.t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -162,7 +162,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	became = make(chan forward.Forwarded, 1)
+	became = make(chan forward.Result, 1)
 	go func() {
 		did := w.first.Forward(c, []byte(first), table.Version{Revision: 1}, time.Now().Add(until))
 		if did.Outcome != forward.Ended {
@@ -174,14 +174,14 @@
 	return caller, became
 }
 
-func (w *world) became(ch chan forward.Forwarded) forward.Forwarded {
+func (w *world) became(ch chan forward.Result) forward.Result {
 	w.t.Helper()
 	select {
 	case did := <-ch:
 		return did
 	case <-time.After(generous):
 		w.t.Fatal("the stream does not end")
-		return forward.Forwarded{}
+		return forward.Result{}
 	}
 }
 
@@ -293,7 +293,7 @@
 		},
 		"nobody is there": func(t *testing.T) {
 			w := newWorld(t, echo)
-			w.first.SetNeighbours(nil)
+			w.first.SetPeers(nil)
 			_, became := w.call(post("/x", 0), generous)
 			if did := w.became(became); did.Outcome != forward.NotTaken || did.To != "" {
 				t.Errorf("%+v", did)
@@ -304,8 +304,8 @@
 			w := newWorld(t, func(out http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done() })
 			_, became := w.call(post("/x", 0), generous)
 			<-started
-			w.first.Lost("b")
-			w.first.Lost("c")
+			w.first.EndStreams("b")
+			w.first.EndStreams("c")
 			if did := w.became(became); did.Outcome != forward.Unknown || w.runs() != 1 {
 				t.Errorf("%+v, run %d times", did, w.runs())
 			}
@@ -321,7 +321,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.first.KeepOnly(map[string]bool{})
+			w.first.EndStreamsExcept(map[string]bool{})
 			if _, err := io.ReadAll(resp.Body); err == nil {
 				t.Error("an answer that was cut off looks whole")
 			}
@@ -378,8 +378,8 @@
 			w := newWorld(t, func(out http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done(); close(left) })
 			_, became := w.call(post("/x", 0), time.Second)
 			<-started
-			w.net.at["b"].Lost("a")
-			w.net.at["c"].Lost("a")
+			w.net.at["b"].EndStreams("a")
+			w.net.at["c"].EndStreams("a")
 			select {
 			case <-left:
 			case <-time.After(generous):
--- a/internal/forward/incoming.go
+++ b/internal/forward/incoming.go
@@ -37,8 +37,8 @@
 
 // accept takes a connection that another router hands on, unless there is no time for it
 // here either.
-func (f *Forwarder) accept(in peer.Inbound, m *wire.Forward, send Sender, front Front) {
-	if !front.TakesForwarded(table.Version{Edition: m.Edition, Revision: m.Revision}) {
+func (f *Forwarder) accept(in peer.Inbound, m *wire.Forward, send Sender, front Server) {
+	if !front.AcceptsForwarded(table.Version{Edition: m.Edition, Revision: m.Revision}) {
 		send.Send(in.From, &wire.ForwardData{Stream: m.Stream, Answer: true, Number: 1, Refused: true, End: true})
 		return
 	}
--- a/internal/forward/outgoing.go
+++ b/internal/forward/outgoing.go
@@ -66,8 +66,8 @@
 
 // Forward hands a connection on with what was read from it, and passes on what comes
 // either way until it ends, or until a time by which the caller has left.
-func (f *Forwarder) Forward(caller net.Conn, first []byte, by table.Version, until time.Time) Forwarded {
-	did := Forwarded{Read: first}
+func (f *Forwarder) Forward(caller net.Conn, first []byte, by table.Version, until time.Time) Result {
+	did := Result{Read: first}
 	for range tries {
 		to, ok := f.choose(f.clock.Now(), did.To)
 		if !ok {
@@ -87,8 +87,8 @@
 	return did
 }
 
-// Forwarded is what became of a connection that was to be handed on.
-type Forwarded struct {
+// Result is what became of a connection that was to be handed on.
+type Result struct {
 	Outcome Outcome
 	// To is the router that was asked last, "" if there was none to ask.
 	To string
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -13,7 +13,7 @@
 // answer writes to one caller. It implements backend.Sink.
 type answer struct {
 	w       http.ResponseWriter
-	dialect *Dialect
+	dialect *HeaderConfig
 	id      string
 	// routed answers are passed on as they came.
 	routed bool
@@ -25,7 +25,7 @@
 }
 
 func (s *Server) answerTo(w http.ResponseWriter, a *ask) *answer {
-	return &answer{w: w, dialect: &s.opt.dialect, id: a.id, routed: a.route != nil, slow: s.callers.Load().SlowCaller}
+	return &answer{w: w, dialect: &s.opt.dialect, id: a.id, routed: a.route != nil, slow: s.callers.Load().IOTimeout}
 }
 
 // Begin implements backend.Sink.
--- a/internal/front/ask.go
+++ b/internal/front/ask.go
@@ -22,16 +22,16 @@
 const (
 	// HeaderDeadline is the deadline in milliseconds from the arrival.
 	HeaderDeadline = "Yarrowmast-Deadline-Ms"
-	// HeaderOnce marks a request as not to be repeated: true or false.
-	HeaderOnce = "Yarrowmast-Not-Repeatable"
+	// HeaderNotRepeatable marks a request as not to be repeated: true or false.
+	HeaderNotRepeatable = "Yarrowmast-Not-Repeatable"
 	// HeaderPriority orders an account's own requests, from 0 to 9.
 	HeaderPriority = "Yarrowmast-Priority"
-	// HeaderKey is the caller's idempotency key.
-	HeaderKey = "Idempotency-Key"
-	// HeaderKeyTime is when the key was first used, in RFC 3339.
-	HeaderKeyTime = "Idempotency-Key-Time"
-	maxKeyLength  = 256
-	maxPriority   = 9
+	// HeaderIdempotencyKey is the caller's idempotency key.
+	HeaderIdempotencyKey = "Idempotency-Key"
+	// HeaderIdempotencyKeyTime is when the key was first used, in RFC 3339.
+	HeaderIdempotencyKeyTime = "Idempotency-Key-Time"
+	maxKeyLength             = 256
+	maxPriority              = 9
 	// prefixBytes is how much of a body is hashed to find cached prompts.
 	prefixBytes = 256
 )
@@ -89,10 +89,10 @@
 		wait = boundedWait(ms)
 	}
 	a.deadline = a.arrived.Add(wait)
-	if v := r.Header.Get(HeaderOnce); v != "" {
+	if v := r.Header.Get(HeaderNotRepeatable); v != "" {
 		once, err := strconv.ParseBool(v)
 		if err != nil {
-			return badHeader(HeaderOnce)
+			return badHeader(HeaderNotRepeatable)
 		}
 		a.once = once
 	}
@@ -107,17 +107,17 @@
 }
 
 func readKey(a *ask, r *http.Request) *verdict.Error {
-	a.key = r.Header.Get(HeaderKey)
+	a.key = r.Header.Get(HeaderIdempotencyKey)
 	if len(a.key) > maxKeyLength {
-		return badHeader(HeaderKey)
+		return badHeader(HeaderIdempotencyKey)
 	}
-	v := r.Header.Get(HeaderKeyTime)
+	v := r.Header.Get(HeaderIdempotencyKeyTime)
 	if v == "" {
 		return nil
 	}
 	t, err := time.Parse(time.RFC3339Nano, v)
 	if err != nil {
-		return badHeader(HeaderKeyTime)
+		return badHeader(HeaderIdempotencyKeyTime)
 	}
 	a.keyTime = t
 	return nil
@@ -136,7 +136,7 @@
 		return nil, errBodyTooLong
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(s.callers.Load().SlowCaller))
+	_ = control.SetReadDeadline(time.Now().Add(s.callers.Load().IOTimeout))
 	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
 	var buf bytes.Buffer
 	if r.ContentLength > 0 {
--- a/internal/front/attempt.go
+++ b/internal/front/attempt.go
@@ -24,8 +24,8 @@
 	result := s.backend.Do(ctx, s.call(a, r, g), out)
 	o.Tokens = s.tokens(a, g, started)
 	s.scheduler.Release(g, Usage{
-		Tokens: o.Tokens, Sent: result.Sent, Failed: result.Failed,
-		Status: result.Status, Error: result.Err, Silent: result.Silent,
+		Tokens: o.Tokens, Sent: result.Sent, Unreachable: result.Failed,
+		Status: result.Status, Error: result.Err, Stalled: result.Silent,
 		Request: a.id, Digest: a.digest,
 	})
 	if a.route != nil {
@@ -50,8 +50,8 @@
 	if !result.FirstByte.IsZero() {
 		first = result.FirstByte.Sub(started).Milliseconds()
 	}
-	s.opt.log.Info("attempt_end", "request", a.id, "attempt", o.Attempts, "backend", g.Backend, "why", g.Why, "copied_from", g.FetchFrom,
-		"ahead", g.Ahead, "running", g.Running, "expected_ms", g.Expected.Milliseconds(), "first_ms", first,
+	s.opt.log.Info("attempt_end", "request", a.id, "attempt", o.Attempts, "backend", g.Backend, "why", g.Reason, "copied_from", g.CopyPrefixFrom,
+		"ahead", g.TokensAhead, "running", g.Running, "expected_ms", g.ExpectedFirstEvent.Milliseconds(), "first_ms", first,
 		"total_ms", s.clock().Since(started).Milliseconds(), "sent", result.Sent, "events", result.LastEvent, "code", code)
 	s.logSaid(a, g, o, result.Said)
 }
--- a/internal/front/connections.go
+++ b/internal/front/connections.go
@@ -201,9 +201,9 @@
 	return ConnectionCounts{Open: cs.open, Idle: cs.idle.Len(), Refused: cs.refused.Load(), Evicted: cs.evicted.Load()}
 }
 
-// Full reports whether callers were refused lately because as many connections
+// ConnectionsFull reports whether callers were refused lately because as many connections
 // were in use as there may be.
-func (s *Server) Full() bool { return s.connections.full(s.clock().Now()) }
+func (s *Server) ConnectionsFull() bool { return s.connections.full(s.clock().Now()) }
 
 // connKey is the context's key of a request's connection.
 type connKey struct{}
@@ -239,7 +239,7 @@
 		panic(http.ErrAbortHandler)
 	case c.refuse:
 		left, _ := s.statedTime(r)
-		s.refuseUnrouted(w, r, errFull.After(RetryLater(left)))
+		s.refuseUnrouted(w, r, errFull.WithRetryAfter(RetryDelay(left)))
 		return true
 	default:
 		return false
--- a/internal/front/connections_test.go
+++ b/internal/front/connections_test.go
@@ -23,9 +23,9 @@
 
 // bounded returns what callers may do with so many connections.
 func bounded(connections int) front.Option {
-	c := front.DefaultCallers()
+	c := front.DefaultCallerLimits()
 	c.MaxConnections = connections
-	return front.WithCallers(c)
+	return front.WithCallerLimits(c)
 }
 
 // caller is one connection that a test keeps open.
@@ -166,7 +166,7 @@
 	if got := server.Connections().Refused; got != 1 {
 		t.Errorf("%d connections counted as refused, want 1", got)
 	}
-	if !server.Full() {
+	if !server.ConnectionsFull() {
 		t.Error("a router that refuses connections says that it is ready")
 	}
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" || !resp.Close {
@@ -215,7 +215,7 @@
 				}
 				waitFor(b, "the requests", func() bool {
 					c := server.Connections()
-					return c.Open == many && (name == "active" && server.Open() == many || c.Idle == many)
+					return c.Open == many && (name == "active" && server.OpenRequests() == many || c.Idle == many)
 				})
 				b.ReportMetric(float64(inUse()-before)/many, "B/connection")
 			}
--- a/internal/front/dialect.go
+++ b/internal/front/dialect.go
@@ -13,9 +13,9 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// Dialect names the headers that callers of routes speak. An empty name means
+// HeaderConfig names the headers that callers of routes speak. An empty name means
 // that the header is not spoken.
-type Dialect struct {
+type HeaderConfig struct {
 	// RequestID carries the caller's own id of the request.
 	RequestID string
 	// Deadline is how long the caller waits, in milliseconds.
@@ -36,23 +36,23 @@
 	// set: a caller's are dropped. All others are a caller's own and are passed
 	// on, but for Key and those that concern one connection only.
 	Reserved []string
-	// FineRetryAfter says that callers understand fractions of a second.
-	FineRetryAfter bool
+	// FractionalRetryAfter says that callers understand fractions of a second.
+	FractionalRetryAfter bool
 }
 
-// Headers that callers of routes may send unless a Dialect says otherwise.
+// Headers that callers of routes may send unless a HeaderConfig says otherwise.
 const (
-	// HeaderTokens is Dialect.Tokens.
+	// HeaderTokens is HeaderConfig.Tokens.
 	HeaderTokens = "Yarrowmast-Tokens"
-	// HeaderParts is Dialect.Parts.
+	// HeaderParts is HeaderConfig.Parts.
 	HeaderParts = "Yarrowmast-Parts"
-	// HeaderLastEvent is Dialect.LastEvent, as server-sent events have it.
+	// HeaderLastEvent is HeaderConfig.LastEvent, as server-sent events have it.
 	HeaderLastEvent = "Last-Event-ID"
 )
 
-// OwnDialect returns the headers of the product's own interface.
-func OwnDialect() Dialect {
-	return Dialect{
+// DefaultHeaders returns the headers of the product's own interface.
+func DefaultHeaders() HeaderConfig {
+	return HeaderConfig{
 		RequestID: backend.HeaderRequestID, Deadline: HeaderDeadline, Key: "Authorization", KeyPrefix: "Bearer ",
 		Tokens: HeaderTokens, Parts: HeaderParts, LastEvent: HeaderLastEvent,
 		Reserved: []string{backend.HeaderPriority},
@@ -60,8 +60,8 @@
 }
 
 // retryAfter formats a time to come back.
-func (d *Dialect) retryAfter(after time.Duration) string {
-	if d.FineRetryAfter {
+func (d *HeaderConfig) retryAfter(after time.Duration) string {
+	if d.FractionalRetryAfter {
 		return strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
 	}
 	return strconv.Itoa(int(math.Ceil(after.Seconds())))
@@ -78,7 +78,7 @@
 }
 
 // readPrompt reads what the headers state of the prompt.
-func (d *Dialect) readPrompt(h http.Header) (prompt, *verdict.Error) {
+func (d *HeaderConfig) readPrompt(h http.Header) (prompt, *verdict.Error) {
 	var p prompt
 	if d.Tokens != "" {
 		var ok bool
--- a/internal/front/early.go
+++ b/internal/front/early.go
@@ -53,7 +53,7 @@
 // refusesEarly reports whether a new connection's request is looked at before the HTTP
 // server has it.
 func (s *Server) refusesEarly(c *conn) bool {
-	return s.scheduler.Refusing() && !c.refuse && s.opt.tls == nil && !s.leaving.Load() && !s.draining.Load()
+	return s.scheduler.Shedding() && !c.refuse && s.opt.tls == nil && !s.leaving.Load() && !s.draining.Load()
 }
 
 // lookAt refuses a connection's first request where the scheduler says so, and gives all
@@ -147,7 +147,7 @@
 // endEarly refuses a request where the scheduler says so, or hands it on to a router with
 // more time, and closes its connection. Of n bytes that were read, some are the body's.
 func (s *Server) endEarly(c *conn, h *head, buf *[earlyHead]byte, n, body int, arrived time.Time) bool {
-	err := s.scheduler.Screen(h.request)
+	err := s.scheduler.CheckAdmission(h.request)
 	if err == nil {
 		return false
 	}
@@ -172,7 +172,7 @@
 	}
 	_ = c.Close()
 	out := Outcome{Account: h.request.Account, Model: a.model, Status: err.Status, Code: err.Code, Verdict: err.Verdict.String(), Total: s.clock().Since(arrived)}
-	s.opt.observer.Answered(out)
+	s.opt.observer.RequestEnded(out)
 	s.log(a, &out)
 }
 
@@ -190,7 +190,7 @@
 
 // appendRefusal appends an answer that refuses a request and ends its connection, as
 // writeProblem writes it.
-func appendRefusal(b []byte, d *Dialect, id string, e *verdict.Error) []byte {
+func appendRefusal(b []byte, d *HeaderConfig, id string, e *verdict.Error) []byte {
 	body, err := json.Marshal(problemOf(id, e))
 	if err != nil {
 		body = nil
--- a/internal/front/early_test.go
+++ b/internal/front/early_test.go
@@ -24,7 +24,7 @@
 	f := &fake{t: newTable(t), results: []backend.Result{{}}}
 	f.overload.Store(true)
 	if refuse {
-		f.screened = verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "over-share", "come back as told").After(1500 * time.Millisecond)
+		f.screened = verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "over-share", "come back as told").WithRetryAfter(1500 * time.Millisecond)
 	}
 	f.t.Routes = []table.Route{
 		{Name: "r", Host: "forms.example", Prefix: "/a/", Target: time.Second, Stream: true, Targets: []table.Target{{Service: "scores", Weight: 1}}},
--- a/internal/front/forward.go
+++ b/internal/front/forward.go
@@ -15,7 +15,7 @@
 
 // Forwarder hands callers' connections on to other routers.
 type Forwarder interface {
-	Forward(caller net.Conn, first []byte, by table.Version, until time.Time) forward.Forwarded
+	Forward(caller net.Conn, first []byte, by table.Version, until time.Time) forward.Result
 }
 
 // WithForwarder sets what hands on the connections that this router has no time for.
@@ -53,14 +53,14 @@
 	}
 }
 
-// TakesForwarded implements forward.Front.
-func (s *Server) TakesForwarded(by table.Version) bool {
+// AcceptsForwarded implements forward.Server.
+func (s *Server) AcceptsForwarded(by table.Version) bool {
 	t := s.scheduler.Table()
-	return t != nil && !by.NewerThan(t.Version()) && !s.scheduler.Refusing() && !s.scheduler.Overloaded() &&
+	return t != nil && !by.NewerThan(t.Version()) && !s.scheduler.Shedding() && !s.scheduler.Overloaded() &&
 		!s.leaving.Load() && !s.draining.Load() && !s.connections.crowded(s.callers.Load().MaxConnections)
 }
 
-// ServeForwarded implements forward.Front: it serves a connection that another router
+// ServeForwarded implements forward.Server: it serves a connection that another router
 // handed on. It ends with its first answer.
 func (s *Server) ServeForwarded(nc net.Conn) {
 	c := s.admitted(nc)
--- a/internal/front/forward_test.go
+++ b/internal/front/forward_test.go
@@ -22,9 +22,9 @@
 	asked   chan string
 }
 
-func (h *handsOn) Forward(c net.Conn, first []byte, by table.Version, until time.Time) forward.Forwarded {
+func (h *handsOn) Forward(c net.Conn, first []byte, by table.Version, until time.Time) forward.Result {
 	h.asked <- string(first)
-	did := forward.Forwarded{Outcome: h.outcome, To: "b", Read: first}
+	did := forward.Result{Outcome: h.outcome, To: "b", Read: first}
 	switch h.outcome {
 	case forward.Ended:
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
@@ -55,7 +55,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			f, _ := screenedServer(t, true)
-			f.screened = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, tc.code, "come back as told").After(time.Second)
+			f.screened = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, tc.code, "come back as told").WithRetryAfter(time.Second)
 			f.hurried.Store(true)
 			f.mayForward.Store(tc.may)
 			other := &handsOn{tc.outcome, make(chan string, 1)}
@@ -106,17 +106,17 @@
 // slowly hands a connection on until it is told to end.
 type slowly struct{ begun, end chan struct{} }
 
-func (h *slowly) Forward(c net.Conn, _ []byte, _ table.Version, _ time.Time) forward.Forwarded {
+func (h *slowly) Forward(c net.Conn, _ []byte, _ table.Version, _ time.Time) forward.Result {
 	close(h.begun)
 	<-h.end
 	_ = c.Close()
-	return forward.Forwarded{Outcome: forward.Ended}
+	return forward.Result{Outcome: forward.Ended}
 }
 
 // TestShutdownWaitsForWhatIsHandedOn stops a router whose caller is served by another one.
 func TestShutdownWaitsForWhatIsHandedOn(t *testing.T) {
 	f, _ := screenedServer(t, true)
-	f.screened = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, front.CodeOverloaded, "come back as told").After(time.Second)
+	f.screened = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, front.CodeOverloaded, "come back as told").WithRetryAfter(time.Second)
 	f.hurried.Store(true)
 	f.mayForward.Store(true)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -44,11 +44,11 @@
 }
 
 func (f *fake) Table() *table.Table           { return f.t }
-func (f *fake) MayRetry(front.Request) bool   { return true }
+func (f *fake) SpendRetry(front.Request) bool { return true }
 func (f *fake) Overloaded() bool              { return f.overload.Load() }
 func (f *fake) MayForward(front.Request) bool { return f.mayForward.Load() }
-func (f *fake) Refusing() bool                { return f.hurried.Load() }
-func (f *fake) Screen(front.Request) *verdict.Error {
+func (f *fake) Shedding() bool                { return f.hurried.Load() }
+func (f *fake) CheckAdmission(front.Request) *verdict.Error {
 	f.screens.Add(1)
 	return f.screened
 }
@@ -172,7 +172,7 @@
 		"body over the cap": {"POST", front.PathCompletions, strings.Repeat("x", 2000), nil, reply{413, "not-run", "body-too-large"}},
 		"bad deadline":      {"POST", front.PathCompletions, good, map[string]string{front.HeaderDeadline: "soon"}, reply{400, "not-run", "bad-header"}},
 		"bad priority":      {"POST", front.PathCompletions, good, map[string]string{front.HeaderPriority: "10"}, reply{400, "not-run", "bad-header"}},
-		"bad mark":          {"POST", front.PathCompletions, good, map[string]string{front.HeaderOnce: "maybe"}, reply{400, "not-run", "bad-header"}},
+		"bad mark":          {"POST", front.PathCompletions, good, map[string]string{front.HeaderNotRepeatable: "maybe"}, reply{400, "not-run", "bad-header"}},
 		"deadline passes":   {"POST", front.PathCompletions, good, map[string]string{front.HeaderDeadline: "20"}, reply{504, "not-run", "deadline"}},
 	}
 	for name, tc := range tests {
@@ -191,7 +191,7 @@
 
 func TestChunkedBodyThatStops(t *testing.T) {
 	f := &fake{t: newTable(t), results: []backend.Result{{}}}
-	url := start(t, f, front.WithSlowCaller(100*time.Millisecond))
+	url := start(t, f, front.WithIOTimeout(100*time.Millisecond))
 	conn, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -230,7 +230,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := &fake{t: newTable(t), results: tc.results}
-			got := ask(t, "POST", start(t, f)+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderOnce: tc.once})
+			got := ask(t, "POST", start(t, f)+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderNotRepeatable: tc.once})
 			if diff := cmp.Diff(tc.want, got); diff != "" {
 				t.Errorf("reply (-want +got):\n%s", diff)
 			}
@@ -274,7 +274,7 @@
 
 func TestKeyIsTakenBackWhenNothingRan(t *testing.T) {
 	f := &fake{t: newTable(t), results: []backend.Result{failed(verdict.PhaseDial, "other", false)}}
-	ask(t, "POST", start(t, f)+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderKey: "k"})
+	ask(t, "POST", start(t, f)+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderIdempotencyKey: "k"})
 	if f.voided.Load() != 1 {
 		t.Errorf("taken back %d times", f.voided.Load())
 	}
@@ -326,7 +326,7 @@
 			t.Fatal(err)
 		}
 		_ = resp.Body.Close()
-		if got := (<-f.asked).Patience; got <= 0 || got > target/4-way {
+		if got := (<-f.asked).MaxWait; got <= 0 || got > target/4-way {
 			t.Errorf("a request with a target of %v may wait %v", target, got)
 		}
 	}
@@ -335,7 +335,7 @@
 // outcomes keeps what an observer is told.
 type outcomes chan front.Outcome
 
-func (o outcomes) Answered(got front.Outcome) { o <- got }
+func (o outcomes) RequestEnded(got front.Outcome) { o <- got }
 
 // TestRefusalTellsHowLongItWaited has a request wait in vain for a place.
 func TestRefusalTellsHowLongItWaited(t *testing.T) {
--- a/internal/front/gather_test.go
+++ b/internal/front/gather_test.go
@@ -25,7 +25,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := &Server{}
-			s.SetCallers(Callers{PassWithin: 180 * time.Millisecond})
+			s.SetCallerLimits(CallerLimits{MaxEventDelay: 180 * time.Millisecond})
 			got := time.Duration(0)
 			if gather := s.gatherFor(&routing{Route: &table.Route{Pause: tc.pause}}, tc.hurried); gather != nil {
 				got = gather()
--- a/internal/front/handle.go
+++ b/internal/front/handle.go
@@ -33,11 +33,11 @@
 // tableFor returns the table to decide a new request by.
 func (s *Server) tableFor(*http.Request) (*table.Table, *verdict.Error) {
 	if s.draining.Load() {
-		return nil, errDraining.After(retryAfter)
+		return nil, errDraining.WithRetryAfter(retryAfter)
 	}
 	t := s.scheduler.Table()
 	if t == nil {
-		return nil, errNotReady.After(retryAfter)
+		return nil, errNotReady.WithRetryAfter(retryAfter)
 	}
 	return t, nil
 }
@@ -63,7 +63,7 @@
 	defer s.open.Add(-1)
 	var err *verdict.Error
 	if s.open.Add(1) > s.callers.Load().MaxOpen {
-		err = errTooManyOpen.After(retryAfter)
+		err = errTooManyOpen.WithRetryAfter(retryAfter)
 	} else {
 		err = read()
 	}
@@ -80,7 +80,7 @@
 		outcome.Verdict = err.Verdict.String()
 	}
 	outcome.Total = s.clock().Since(a.arrived)
-	s.opt.observer.Answered(outcome)
+	s.opt.observer.RequestEnded(outcome)
 	s.log(a, &outcome)
 	if err != nil && out.began {
 		// The answer has no end, so the connection must not have one either.
@@ -117,7 +117,7 @@
 	if a.key == "" {
 		return s.tryAll(ctx, a, r, out, o)
 	}
-	claim := Claim{Account: a.account.Name, Request: a.id, Key: a.key, At: a.keyTime}
+	claim := Claim{Account: a.account.Name, Request: a.id, Key: a.key, FirstUsed: a.keyTime}
 	if err := s.scheduler.Claim(ctx, claim); err != nil {
 		return acquireFailed(ctx, err)
 	}
@@ -165,7 +165,7 @@
 	if result.Began || !verdict.MayRetry(err.Verdict, !a.once) || !retryable(err.Code) {
 		return false
 	}
-	return s.scheduler.MayRetry(a.request())
+	return s.scheduler.SpendRetry(a.request())
 }
 
 // retryable lists the causes that another attempt may mend.
@@ -218,7 +218,7 @@
 	s.handle(w, r, func(a *ask) *verdict.Error {
 		a.model = r.PathValue("service")
 		a.path = servicePath(r)
-		if r.Header.Get(HeaderOnce) == "" {
+		if r.Header.Get(HeaderNotRepeatable) == "" {
 			a.once = r.Method != http.MethodGet && r.Method != http.MethodHead && r.Method != http.MethodOptions
 		}
 		body, err := s.readBody(w, r)
@@ -239,7 +239,7 @@
 }
 
 func (s *Server) notReady(w http.ResponseWriter, r *http.Request) {
-	s.refuseUnrouted(w, r, errNotReady.After(retryAfter))
+	s.refuseUnrouted(w, r, errNotReady.WithRetryAfter(retryAfter))
 }
 
 // refuseUnrouted answers a request that no route or interface takes.
--- a/internal/front/problem.go
+++ b/internal/front/problem.go
@@ -48,7 +48,7 @@
 	return verdict.New(verdict.PhaseStream, http.StatusInternalServerError, "internal", "the entry instance failed").Wrap(err)
 }
 
-func writeProblem(w http.ResponseWriter, d *Dialect, id string, e *verdict.Error) {
+func writeProblem(w http.ResponseWriter, d *HeaderConfig, id string, e *verdict.Error) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
 	h.Set(verdict.Header, e.Verdict.String())
--- a/internal/front/retry.go
+++ b/internal/front/retry.go
@@ -21,9 +21,9 @@
 	latestReturn = 5 * time.Second
 )
 
-// RetryLater returns when the caller of a request that has so much time left may
+// RetryDelay returns when the caller of a request that has so much time left may
 // come back, where more is asked than can be served: late, and spread by chance.
-func RetryLater(left time.Duration) time.Duration {
+func RetryDelay(left time.Duration) time.Duration {
 	from := min(time.Duration(returnFrom*float64(left)), latestReturn/2)
 	upTo := min(time.Duration(returnUpTo*float64(left)), latestReturn)
 	return max(time.Millisecond, from+rand.N(max(1, upTo-from)))
--- a/internal/front/retry_test.go
+++ b/internal/front/retry_test.go
@@ -19,7 +19,7 @@
 		t.Run(name, func(t *testing.T) {
 			least, most := time.Hour, time.Duration(0)
 			for range 1000 {
-				got := RetryLater(tc.left)
+				got := RetryDelay(tc.left)
 				least, most = min(least, got), max(most, got)
 			}
 			if least < tc.from || most > tc.upTo {
--- a/internal/front/routed.go
+++ b/internal/front/routed.go
@@ -81,7 +81,7 @@
 	if c := connOf(r); !c.wasScreened() {
 		req := a.request()
 		req.Forwarded = c.wasForwarded()
-		if err := s.scheduler.Screen(req); err != nil {
+		if err := s.scheduler.CheckAdmission(req); err != nil {
 			return err
 		}
 	}
@@ -136,9 +136,9 @@
 	req.Rank = x.Rank
 	req.Prompt, req.Shared, req.Output = x.tokens, x.shared, x.output
 	req.Target = x.Target
-	req.Patience = x.Target / patiencePart
+	req.MaxWait = x.Target / patiencePart
 	req.Avoid = x.avoid
-	req.Begun, req.Answering = x.doubt, x.began
+	req.MayHaveRun, req.Resuming = x.doubt, x.began
 }
 
 // tried notes how an attempt ended.
@@ -172,7 +172,7 @@
 	if err.Verdict != verdict.NotRun && x.Repeat == table.RepeatNever {
 		return false
 	}
-	return !result.Sent || x.paid.Swap(false) || s.scheduler.MayRetry(a.request())
+	return !result.Sent || x.paid.Swap(false) || s.scheduler.SpendRetry(a.request())
 }
 
 const (
@@ -197,7 +197,7 @@
 	p := backend.Patience{
 		First: max(leastPatience, firstTargets*x.Target),
 		Leave: func() bool {
-			if !s.scheduler.MayRetry(req) {
+			if !s.scheduler.SpendRetry(req) {
 				return false
 			}
 			x.paid.Store(true)
@@ -214,12 +214,12 @@
 	header := r.Header.Clone()
 	header.Del(s.opt.dialect.Key)
 	return backend.Call{
-		Address: g.Address, Instance: g.Backend, Born: g.Born, Host: r.Host, Method: r.Method, Path: a.path, Header: header, Body: a.body,
+		Address: g.Address, Instance: g.Backend, Born: g.StartTime, Host: r.Host, Method: r.Method, Path: a.path, Header: header, Body: a.body,
 		RequestID: a.id, Account: a.account.Name, Deadline: a.deadline, Once: a.once, Events: a.events, Opaque: true,
 		Resume: a.route.began, LastEvent: a.route.lastEvent, Buffer: wholeAnswer,
 		HoldFailure: a.route.Repeat != table.RepeatNever && a.route.sent+1 < a.route.MaxAttempts(),
-		FetchFrom:   g.FetchFrom, Connections: g.Connections, Patience: s.patience(a), MayStart: g.MayStart, Served: g.Served, First: g.First, Said: g.Said,
-		Gather: s.gatherFor(a.route, g.Hurried),
+		FetchFrom:   g.CopyPrefixFrom, Connections: g.MaxConnections, Patience: s.patience(a), MayStart: g.MayStart, Served: g.Served, First: g.OnFirstEvent, Said: g.OnNotice,
+		Gather: s.gatherFor(a.route, g.Saturated),
 	}
 }
 
@@ -240,7 +240,7 @@
 		if !hurried() {
 			return 0
 		}
-		wait := time.Duration(gatherPart * float64(s.callers.Load().PassWithin))
+		wait := time.Duration(gatherPart * float64(s.callers.Load().MaxEventDelay))
 		if x.Pause > 0 {
 			wait = min(wait, time.Duration(gatherPause*float64(x.Pause)))
 		}
--- a/internal/front/scheduler.go
+++ b/internal/front/scheduler.go
@@ -14,23 +14,23 @@
 type Scheduler interface {
 	// Table returns the table in force, nil before there is one.
 	Table() *table.Table
-	// Screen refuses a request that has no chance, before its body is read.
-	Screen(r Request) *verdict.Error
-	// MayForward reports whether a request that Screen refused for want of time may be
+	// CheckAdmission refuses a request that has no chance, before its body is read.
+	CheckAdmission(r Request) *verdict.Error
+	// MayForward reports whether a request that CheckAdmission refused for want of time may be
 	// handed on to a router that has some.
 	MayForward(r Request) bool
 	// Overloaded reports whether this router cannot keep up with its requests,
 	// so that callers had better come by another one.
 	Overloaded() bool
-	// Refusing reports whether many requests are refused here now, or this router is
+	// Shedding reports whether many requests are refused here now, or this router is
 	// short of time.
-	Refusing() bool
+	Shedding() bool
 	// Acquire waits for a slot. Its error is a *verdict.Error, or ctx's.
 	Acquire(ctx context.Context, r Request) (Grant, error)
 	// Release gives the slot back.
 	Release(g Grant, u Usage)
-	// MayRetry takes one retry of the request out of the budget.
-	MayRetry(r Request) bool
+	// SpendRetry takes one retry of the request out of the budget.
+	SpendRetry(r Request) bool
 	// Claim takes a caller's idempotency key for this request. Its error is
 	// a *verdict.Error that says what became of the request.
 	Claim(ctx context.Context, c Claim) error
@@ -64,16 +64,16 @@
 	// Target is the time within which the first event, or the whole answer of
 	// a plain service, is worth most; 0 if not stated.
 	Target time.Duration
-	// Patience is how long the request may wait before it is refused; 0 means
+	// MaxWait is how long the request may wait before it is refused; 0 means
 	// until its deadline.
-	Patience time.Duration
-	// Begun says that the request may have run at one of the backend servers
+	MaxWait time.Duration
+	// MayHaveRun says that the request may have run at one of the backend servers
 	// that it was sent to.
-	Begun bool
+	MayHaveRun bool
 	// Avoid lists backend servers that failed the request.
 	Avoid []string
-	// Answering says that its answer has begun, so that it goes on where that ended.
-	Answering bool
+	// Resuming says that its answer has begun, so that it goes on where that ended.
+	Resuming bool
 	// Digest works out what identifies the request, whichever try it is; nil if nobody
 	// can.
 	Digest func() uint64
@@ -84,35 +84,35 @@
 	ID      uint64
 	Backend string
 	Address string
-	// Born is when the backend server started, 0 if it does not say.
-	Born int64
-	// FetchFrom is the address of a backend server from which the prompt's shared
+	// StartTime is when the backend server started, 0 if it does not say.
+	StartTime int64
+	// CopyPrefixFrom is the address of a backend server from which the prompt's shared
 	// parts are copied, "" if they need not be.
-	FetchFrom string
-	// Why says in a word how the backend server was chosen.
-	Why string
-	// Ahead is the tokens that are to be read there before the first event,
+	CopyPrefixFrom string
+	// Reason says in a word how the backend server was chosen.
+	Reason string
+	// TokensAhead is the tokens that are to be read there before the first event,
 	// Expected when that is expected, Running how many requests are there.
-	Ahead    int64
-	Expected time.Duration
-	Running  int
-	// Connections is this router's part of the connections that the backend server
+	TokensAhead        int64
+	ExpectedFirstEvent time.Duration
+	Running            int
+	// MaxConnections is this router's part of the connections that the backend server
 	// takes, 0 if that is not known.
-	Connections int
+	MaxConnections int
 	// MayStart reports whether the lease allows the first byte now.
 	MayStart func() bool
 	// Served counts the tokens as they come.
 	Served *atomic.Int64
 	// Waited is how long the request has waited in all.
 	Waited time.Duration
-	// First is called when the first event came; nil if nobody asks.
-	First func()
-	// Said is called with what the backend server says of itself, when that comes; nil
+	// OnFirstEvent is called when the first event came; nil if nobody asks.
+	OnFirstEvent func()
+	// OnNotice is called with what the backend server says of itself, when that comes; nil
 	// if nobody asks.
-	Said func(backend.Said)
-	// Hurried reports whether this router has no time to pass each event on by
+	OnNotice func(backend.Said)
+	// Saturated reports whether this router has no time to pass each event on by
 	// itself; nil if it always has.
-	Hurried func() bool
+	Saturated func() bool
 }
 
 // Usage is how a slot was used.
@@ -120,14 +120,14 @@
 	Tokens int64
 	// Sent says whether any byte of the request was sent.
 	Sent bool
-	// Failed says that the backend server could not be reached.
-	Failed bool
+	// Unreachable says that the backend server could not be reached.
+	Unreachable bool
 	// Status is the answer's status, 0 if none came.
 	Status int
 	// Error is how the attempt failed, nil if the answer was passed on.
 	Error *verdict.Error
-	// Silent says that the backend server said nothing for too long.
-	Silent bool
+	// Stalled says that the backend server said nothing for too long.
+	Stalled bool
 	// Request is the request's id, Digest works out what identifies it whichever try it
 	// is; nil if nobody can.
 	Request string
@@ -140,6 +140,6 @@
 	// Request is the id of the request that uses the key.
 	Request string
 	Key     string
-	// At is when the caller first used the key, the zero time if not said.
-	At time.Time
+	// FirstUsed is when the caller first used the key, the zero time if not said.
+	FirstUsed time.Time
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -31,14 +31,14 @@
 	DefaultDeadline = 5 * time.Minute
 	// MaxDeadline is the longest deadline a caller may state.
 	MaxDeadline = time.Hour
-	// DefaultSlowCaller is how long a caller may take for one read or write.
-	DefaultSlowCaller = 30 * time.Second
+	// DefaultIOTimeout is how long a caller may take for one read or write.
+	DefaultIOTimeout = 30 * time.Second
 	// DefaultMaxOpen is how many requests may be open at once.
 	DefaultMaxOpen = 20_000
-	// DefaultPassWithin is within what time an event is to reach its caller.
-	DefaultPassWithin = 200 * time.Millisecond
-	headerTimeout     = 10 * time.Second
-	idleTimeout       = 2 * time.Minute
+	// DefaultMaxEventDelay is within what time an event is to reach its caller.
+	DefaultMaxEventDelay = 200 * time.Millisecond
+	headerTimeout        = 10 * time.Second
+	idleTimeout          = 2 * time.Minute
 )
 
 // Paths that callers use.
@@ -57,8 +57,8 @@
 
 // Observer is told how requests ended.
 type Observer interface {
-	// Answered is called once for each request.
-	Answered(o Outcome)
+	// RequestEnded is called once for each request.
+	RequestEnded(o Outcome)
 }
 
 // Outcome is how one request ended.
@@ -91,7 +91,7 @@
 	open   atomic.Int64
 	// requests counts all that came since the start.
 	requests    atomic.Int64
-	callers     atomic.Pointer[Callers]
+	callers     atomic.Pointer[CallerLimits]
 	reserved    reserved
 	connections connections
 	crowdLog    throttle
@@ -109,11 +109,11 @@
 }
 
 type options struct {
-	callers    Callers
+	callers    CallerLimits
 	tls        *tls.Config
 	log        *slog.Logger
 	observer   Observer
-	dialect    Dialect
+	dialect    HeaderConfig
 	routesOnly bool
 	forwarder  Forwarder
 	clock      *clock.Clock
@@ -122,45 +122,45 @@
 // Option changes a new Server.
 type Option func(*options)
 
-// Callers bounds what callers may do.
-type Callers struct {
+// CallerLimits bounds what callers may do.
+type CallerLimits struct {
 	// MaxBody is the largest request body, MaxHeader the largest header, in
 	// bytes.
 	MaxBody   int64
 	MaxHeader int
 	// Deadline is for requests that state none.
 	Deadline time.Duration
-	// SlowCaller bounds one read from or write to a caller.
-	SlowCaller time.Duration
+	// IOTimeout bounds one read from or write to a caller.
+	IOTimeout time.Duration
 	// MaxOpen bounds the requests open at once, MaxConnections the
 	// connections; 0 means any number of these.
 	MaxOpen        int64
 	MaxConnections int
-	// PassWithin is within what time an event that a backend server sent is to
+	// MaxEventDelay is within what time an event that a backend server sent is to
 	// reach its caller.
-	PassWithin time.Duration
+	MaxEventDelay time.Duration
 }
 
-// DefaultCallers is what callers may do unless settings say otherwise.
-func DefaultCallers() Callers {
-	return Callers{
+// DefaultCallerLimits is what callers may do unless settings say otherwise.
+func DefaultCallerLimits() CallerLimits {
+	return CallerLimits{
 		MaxBody: DefaultMaxBody, MaxHeader: DefaultMaxHeader, Deadline: DefaultDeadline,
-		SlowCaller: DefaultSlowCaller, MaxOpen: DefaultMaxOpen, PassWithin: DefaultPassWithin,
+		IOTimeout: DefaultIOTimeout, MaxOpen: DefaultMaxOpen, MaxEventDelay: DefaultMaxEventDelay,
 	}
 }
 
-// WithCallers sets what callers may do.
-func WithCallers(c Callers) Option { return func(o *options) { o.callers = c } }
+// WithCallerLimits sets what callers may do.
+func WithCallerLimits(c CallerLimits) Option { return func(o *options) { o.callers = c } }
 
 // WithMaxBody sets the largest request body, in bytes.
 func WithMaxBody(n int64) Option { return func(o *options) { o.callers.MaxBody = n } }
 
-// WithSlowCaller bounds one read from or write to a caller.
-func WithSlowCaller(d time.Duration) Option { return func(o *options) { o.callers.SlowCaller = d } }
+// WithIOTimeout bounds one read from or write to a caller.
+func WithIOTimeout(d time.Duration) Option { return func(o *options) { o.callers.IOTimeout = d } }
 
-// SetCallers changes what callers may do from now on; what bounds a
+// SetCallerLimits changes what callers may do from now on; what bounds a
 // connection holds for new ones.
-func (s *Server) SetCallers(c Callers) { s.callers.Store(&c) }
+func (s *Server) SetCallerLimits(c CallerLimits) { s.callers.Store(&c) }
 
 // WithTLS serves callers over TLS.
 func WithTLS(c *tls.Config) Option { return func(o *options) { o.tls = c } }
@@ -171,8 +171,8 @@
 // WithObserver sets who is told of outcomes.
 func WithObserver(ob Observer) Option { return func(o *options) { o.observer = ob } }
 
-// WithDialect sets the headers that callers of routes speak.
-func WithDialect(d Dialect) Option { return func(o *options) { o.dialect = d } }
+// WithHeaders sets the headers that callers of routes speak.
+func WithHeaders(d HeaderConfig) Option { return func(o *options) { o.dialect = d } }
 
 // WithClock sets the clock by which deadlines are told.
 func WithClock(c *clock.Clock) Option { return func(o *options) { o.clock = c } }
@@ -182,13 +182,13 @@
 
 type noObserver struct{}
 
-func (noObserver) Answered(Outcome) {}
+func (noObserver) RequestEnded(Outcome) {}
 
 // New returns a server for the router name, whose incarnation is inc.
 func New(name string, inc uint64, s Scheduler, b Backend, opts ...Option) *Server {
 	srv := &Server{
 		opt: options{
-			callers: DefaultCallers(), log: slog.Default(), observer: noObserver{}, dialect: OwnDialect(),
+			callers: DefaultCallerLimits(), log: slog.Default(), observer: noObserver{}, dialect: DefaultHeaders(),
 			clock: clock.System(),
 		},
 		scheduler: s, backend: b, name: name,
@@ -197,7 +197,7 @@
 	for _, f := range opts {
 		f(&srv.opt)
 	}
-	srv.SetCallers(srv.opt.callers)
+	srv.SetCallerLimits(srv.opt.callers)
 	return srv
 }
 
@@ -244,14 +244,14 @@
 	return mux
 }
 
-// Leave ends each kept connection with its next answer.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// DisableKeepAlives ends each kept connection with its next answer.
+func (s *Server) DisableKeepAlives() { s.leaving.Store(true) }
 
 // Drain refuses new requests as not run; those that wait or run go on.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Open returns how many requests are open.
-func (s *Server) Open() int64 { return s.open.Load() }
+// OpenRequests returns how many requests are open.
+func (s *Server) OpenRequests() int64 { return s.open.Load() }
 
 // Requests returns how many requests came since the start.
 func (s *Server) Requests() int64 { return s.requests.Load() }
--- a/internal/measure/baseline.go
+++ b/internal/measure/baseline.go
@@ -204,8 +204,8 @@
 // Table implements front.Scheduler.
 func (x *baselineAt) Table() *table.Table { return x.router.Table() }
 
-// Screen implements front.Scheduler: every request is taken.
-func (x *baselineAt) Screen(front.Request) *verdict.Error { return nil }
+// CheckAdmission implements front.Scheduler: every request is taken.
+func (x *baselineAt) CheckAdmission(front.Request) *verdict.Error { return nil }
 
 // Overloaded implements front.Scheduler: these routers queue all they get.
 func (x *baselineAt) Overloaded() bool { return false }
@@ -213,11 +213,11 @@
 // MayForward implements front.Scheduler: nothing is handed on.
 func (x *baselineAt) MayForward(front.Request) bool { return false }
 
-// Refusing implements front.Scheduler.
-func (x *baselineAt) Refusing() bool { return false }
+// Shedding implements front.Scheduler.
+func (x *baselineAt) Shedding() bool { return false }
 
-// MayRetry implements front.Scheduler.
-func (x *baselineAt) MayRetry(front.Request) bool { return true }
+// SpendRetry implements front.Scheduler.
+func (x *baselineAt) SpendRetry(front.Request) bool { return true }
 
 // Claim implements front.Scheduler.
 func (x *baselineAt) Claim(context.Context, front.Claim) error { return nil }
--- a/internal/measure/load.go
+++ b/internal/measure/load.go
@@ -226,7 +226,7 @@
 	req.Header.Set("Authorization", "Bearer "+accountKey(g.account.Name))
 	req.Header.Set("Content-Type", "application/json")
 	if once {
-		req.Header.Set(front.HeaderOnce, "true")
+		req.Header.Set(front.HeaderNotRepeatable, "true")
 	}
 	sent := time.Now()
 	resp, err := l.clients[zone].Do(req)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -154,8 +154,8 @@
 	return account
 }
 
-// Answered implements front.Observer.
-func (m *Metrics) Answered(o front.Outcome) {
+// RequestEnded implements front.Observer.
+func (m *Metrics) RequestEnded(o front.Outcome) {
 	s := m.seriesOf(o)
 	if s.refusals != nil {
 		s.refusals.Inc(1)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -19,7 +19,7 @@
 	}
 	const accounts = 3600
 	for i := range accounts {
-		m.Answered(front.Outcome{Account: fmt.Sprint("account-", i), Model: "form"})
+		m.RequestEnded(front.Outcome{Account: fmt.Sprint("account-", i), Model: "form"})
 	}
 	// Closing hands all values on.
 	if err := m.Close(); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,7 +80,7 @@
 	// Source reads what it publishes at an IP number and port.
 	Source func(address string, d Dialer) dispatch.Source
 	// Callers and Backends are the headers spoken there.
-	Callers  front.Dialect
+	Callers  front.HeaderConfig
 	Backends backend.Dialect
 }
 
@@ -174,7 +174,7 @@
 		backend.WithDialer(o.dialer), backend.WithIdle(s.Backends.Idle), backend.WithMaxAnswer(s.Backends.MaxAnswerBytes), backend.WithClock(n.clock),
 	}
 	frontOpts := []front.Option{
-		front.WithCallers(callersOf(s)), front.WithTLS(t.callers), front.WithLogger(n.log),
+		front.WithCallerLimits(callersOf(s)), front.WithTLS(t.callers), front.WithLogger(n.log),
 		front.WithObserver(observers{n.metrics, n.burn, o.observer}), front.WithClock(n.clock),
 	}
 	var scheduler front.Scheduler
@@ -195,12 +195,12 @@
 		d := n.Dispatch
 		n.core, scheduler, source = d, d, d
 		backendOpts = append(backendOpts, backend.WithDialect(p.Backends))
-		frontOpts = append(frontOpts, front.WithDialect(p.Callers), front.WithRoutesOnly(), front.WithForwarder(n.forwarder))
+		frontOpts = append(frontOpts, front.WithHeaders(p.Callers), front.WithRoutesOnly(), front.WithForwarder(n.forwarder))
 	}
 	n.backend = backend.New(backendOpts...)
 	n.Front = front.New(s.Name, inc, scheduler, n.backend, frontOpts...)
 	if n.forwarder != nil {
-		n.forwarder.Use(n.Peers, n.Front)
+		n.forwarder.Bind(n.Peers, n.Front)
 	}
 	n.admin = admin.New(readiness{source, n.Front}, n.metrics.Handler(), func() any { return n.burn.Snapshot() }, t.admin)
 	n.core.Start()
@@ -211,8 +211,8 @@
 // startDispatcher makes the scheduler of a router that follows a platform.
 func (n *Node) startDispatcher(s config.Settings, o options, t tlsAll, p Platform, inc uint64) {
 	id := dispatch.Identity{Name: s.Name, Address: n.ls.peers.Addr().String(), Zone: s.Zone, Inc: inc, Capacity: s.Machine.Processors, Listens: n.ls.addresses()}
-	n.forwarder = forward.New(forward.WithGather(n.gatherForwarded), forward.WithClock(n.clock))
-	n.Peers = peer.New(id.Name, id.Zone, id.Inc, n.ls.peers, append(n.peerOptions(o, t), peer.WithAddress(id.Address), peer.WithTaken(n.forwarder.Take))...)
+	n.forwarder = forward.New(forward.WithBatchDelay(n.gatherForwarded), forward.WithClock(n.clock))
+	n.Peers = peer.New(id.Name, id.Zone, id.Inc, n.ls.peers, append(n.peerOptions(o, t), peer.WithAddress(id.Address), peer.WithTaken(n.forwarder.Handle))...)
 	opts := []dispatch.Option{
 		dispatch.WithLogger(n.log), dispatch.WithSeeds(s.Seeds), dispatch.WithApplyWithin(s.ApplyWithin),
 		dispatch.WithRule(ruleOf(s.Retries)), dispatch.WithForwarder(n.forwarder), dispatch.WithClock(n.clock),
@@ -293,7 +293,7 @@
 	n.mu.Lock()
 	n.drainNotice = s.DrainNotice
 	n.mu.Unlock()
-	n.Front.SetCallers(callersOf(s))
+	n.Front.SetCallerLimits(callersOf(s))
 	if n.Dispatch != nil {
 		n.Dispatch.SetRule(ruleOf(s.Retries), s.ApplyWithin)
 	}
@@ -310,11 +310,11 @@
 }
 
 // callersOf returns what callers may do by the settings.
-func callersOf(s config.Settings) front.Callers {
-	return front.Callers{
+func callersOf(s config.Settings) front.CallerLimits {
+	return front.CallerLimits{
 		MaxBody: s.Callers.MaxBodyBytes, MaxHeader: s.Callers.MaxHeaderBytes, Deadline: s.Callers.DefaultDeadline,
-		SlowCaller: s.Callers.SlowCaller, MaxOpen: s.Callers.MaxOpen, MaxConnections: connectionsOf(s.Machine),
-		PassWithin: s.Callers.PassWithin,
+		IOTimeout: s.Callers.SlowCaller, MaxOpen: s.Callers.MaxOpen, MaxConnections: connectionsOf(s.Machine),
+		MaxEventDelay: s.Callers.PassWithin,
 	}
 }
 
@@ -356,14 +356,14 @@
 // taken, leases go back, streams run to their end or until ctx is done.
 func (n *Node) Stop(ctx context.Context) error {
 	n.admin.Leave()
-	n.Front.Leave()
+	n.Front.DisableKeepAlives()
 	n.log.Info("router_leaving", "notice_ms", n.notice().Milliseconds())
 	n.clock.Sleep(ctx, n.notice())
 	n.Front.Drain()
 	n.core.Drain()
 	err := n.Front.Shutdown(ctx)
 	n.flushPeers()
-	n.log.Info("router_stopped", "cut", n.Front.Open())
+	n.log.Info("router_stopped", "cut", n.Front.OpenRequests())
 	n.close()
 	return err
 }
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -85,11 +85,11 @@
 // observers tells several of an outcome; nil ones are passed over.
 type observers []front.Observer
 
-// Answered implements front.Observer.
-func (os observers) Answered(o front.Outcome) {
+// RequestEnded implements front.Observer.
+func (os observers) RequestEnded(o front.Outcome) {
 	for _, ob := range os {
 		if ob != nil {
-			ob.Answered(o)
+			ob.RequestEnded(o)
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	p := n.Peers.Counters()
 	callers := n.Front.Connections()
 	n.setGauges(map[string]int64{
-		metrics.Open:         n.Front.Open(),
+		metrics.Open:         n.Front.OpenRequests(),
 		metrics.Reserved:     n.Front.ReservedDropped(),
 		metrics.Connections:  int64(callers.Open),
 		metrics.Resting:      int64(callers.Idle),
@@ -183,4 +183,4 @@
 }
 
 // Overloaded implements admin.Source.
-func (r readiness) Overloaded() bool { return r.Source.Overloaded() || r.callers.Full() }
+func (r readiness) Overloaded() bool { return r.Source.Overloaded() || r.callers.ConnectionsFull() }
--- a/internal/router/acquire.go
+++ b/internal/router/acquire.go
@@ -78,11 +78,11 @@
 	r.post(release{id: g.ID, usage: u})
 }
 
-// Screen implements front.Scheduler: every request is taken.
-func (r *Router) Screen(front.Request) *verdict.Error { return nil }
+// CheckAdmission implements front.Scheduler: every request is taken.
+func (r *Router) CheckAdmission(front.Request) *verdict.Error { return nil }
 
-// MayRetry implements front.Scheduler.
-func (r *Router) MayRetry(front.Request) bool {
+// SpendRetry implements front.Scheduler.
+func (r *Router) SpendRetry(front.Request) bool {
 	answer := make(chan bool, 1)
 	if !r.post(spendRetry{answer}) {
 		return false
@@ -129,17 +129,17 @@
 
 func (c *core) admit(e *acquire) *verdict.Error {
 	if c.draining {
-		return errStopping.After(time.Second)
+		return errStopping.WithRetryAfter(time.Second)
 	}
 	if c.table == nil {
-		return errNoTable.After(time.Second)
+		return errNoTable.WithRetryAfter(time.Second)
 	}
 	a, ok := c.table.Account(e.req.Account)
 	if !ok {
 		return errNoAccount
 	}
 	if c.holder.Queued(a.Name) >= a.Limits.Queued {
-		return errQueueFull.After(retryAfter)
+		return errQueueFull.WithRetryAfter(retryAfter)
 	}
 	return nil
 }
@@ -185,5 +185,5 @@
 
 func (e release) apply(c *core) {
 	delete(c.served, e.id)
-	c.runHolder(hold.Finished{ID: e.id, Tokens: e.usage.Tokens, Sent: e.usage.Sent, Failed: e.usage.Failed})
+	c.runHolder(hold.Finished{ID: e.id, Tokens: e.usage.Tokens, Sent: e.usage.Sent, Failed: e.usage.Unreachable})
 }
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -47,8 +47,8 @@
 func (r *Router) Claim(ctx context.Context, cl front.Claim) error {
 	answer := make(chan error, 1)
 	msg := &wire.Claim{Key: keyOf(cl), Request: cl.Request}
-	if !cl.At.IsZero() {
-		msg.At = cl.At.UnixMilli()
+	if !cl.FirstUsed.IsZero() {
+		msg.At = cl.FirstUsed.UnixMilli()
 	}
 	if !r.post(claimKey{&claiming{msg: msg, answer: answer}}) {
 		return errGone
@@ -152,7 +152,7 @@
 	case wire.ClaimUnknown:
 		return errKeyUnknown
 	default:
-		return errKeyHome.After(retryAfter)
+		return errKeyHome.WithRetryAfter(retryAfter)
 	}
 }
 
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -118,8 +118,8 @@
 // MayForward implements front.Scheduler: nothing is handed on.
 func (r *Router) MayForward(front.Request) bool { return false }
 
-// Refusing implements front.Scheduler; it does not measure that.
-func (r *Router) Refusing() bool { return false }
+// Shedding implements front.Scheduler; it does not measure that.
+func (r *Router) Shedding() bool { return false }
 
 // Draining reports whether the router is stopping.
 func (r *Router) Draining() bool { return r.Status().Draining }
--- a/pkg/admit/caution.go
+++ b/pkg/admit/caution.go
@@ -70,7 +70,7 @@
 // if it is not.
 func (c *Core) endsRefusal(r *request) *verdict.Error {
 	if standing := c.suspects.Standing(c.now, r.Digest); standing.Barred(c.now) {
-		return errEnds.After(standing.Until - c.now)
+		return errEnds.WithRetryAfter(standing.Until - c.now)
 	}
 	return nil
 }
--- a/pkg/admit/seek.go
+++ b/pkg/admit/seek.go
@@ -143,9 +143,9 @@
 	switch {
 	case !r.Begun && r.Patience > 0 && c.now-r.arrived >= c.patience(r):
 		if c.behindTwin(r) {
-			return errTwin.After(twinRetryAfter + c.retryAfter())
+			return errTwin.WithRetryAfter(twinRetryAfter + c.retryAfter())
 		}
-		return errBusy.After(c.retryAfter())
+		return errBusy.WithRetryAfter(c.retryAfter())
 	default:
 		return nil
 	}
@@ -178,9 +178,9 @@
 // noneOpen is why no backend server of a service takes new requests.
 func (c *Core) noneOpen(service string) *verdict.Error {
 	if slices.ContainsFunc(c.service(service).servers, func(s *server) bool { return s.closed }) {
-		return errClosed.After(retryAfterClosed)
+		return errClosed.WithRetryAfter(retryAfterClosed)
 	}
-	return errNoServer.After(retryAfterNoServer)
+	return errNoServer.WithRetryAfter(retryAfterNoServer)
 }
 
 // patience returns how long a request may wait here. While an owner's answer is due
--- a/pkg/admit/weights.go
+++ b/pkg/admit/weights.go
@@ -234,7 +234,7 @@
 	row, ok := w.rows[r.account]
 	u := w.use(r.use(), now)
 	if ok && !r.Again && row.Limits.Queued > 0 && w.waitingOf(r.account) >= row.Limits.Queued {
-		return errQueueFull.After(queueFullRetryAfter)
+		return errQueueFull.WithRetryAfter(queueFullRetryAfter)
 	}
 	u.waiting++
 	r.turn = r.arrived - time.Duration(r.Priority)*priorityLead
--- a/pkg/admit/word.go
+++ b/pkg/admit/word.go
@@ -173,7 +173,7 @@
 	}
 	left := ends - c.now
 	spread := max(minRetryAfter, time.Duration(restSpread*float64(left)))
-	return errResting.After(left + time.Duration(c.rng.Int64N(int64(spread))))
+	return errResting.WithRetryAfter(left + time.Duration(c.rng.Int64N(int64(spread))))
 }
 
 // noteRow takes in what the directory says of a start beside its own word. A start that
--- a/pkg/hold/lease.go
+++ b/pkg/hold/lease.go
@@ -280,7 +280,7 @@
 			for len(*q) > 0 {
 				r := q.next()
 				h.dequeued(r)
-				h.refuse(r, errGivenUp.After(time.Second))
+				h.refuse(r, errGivenUp.WithRetryAfter(time.Second))
 			}
 		}
 		h.tellNow(m)
--- a/pkg/verdict/verdict.go
+++ b/pkg/verdict/verdict.go
@@ -52,9 +52,9 @@
 	PhaseDone   Phase = "done"
 )
 
-// Of returns the verdict that the phase alone allows: only failures before
+// Verdict returns the verdict that the phase alone allows: only failures before
 // the first byte is sent are provably not run.
-func (p Phase) Of() Verdict {
+func (p Phase) Verdict() Verdict {
 	switch p {
 	case PhaseAdmit, PhaseQueue, PhaseDial:
 		return NotRun
@@ -85,7 +85,7 @@
 
 // New returns an error whose verdict is the one its phase allows.
 func New(phase Phase, status int, code, detail string) *Error {
-	return &Error{Verdict: phase.Of(), Phase: phase, Status: status, Code: code, Detail: detail}
+	return &Error{Verdict: phase.Verdict(), Phase: phase, Status: status, Code: code, Detail: detail}
 }
 
 // Wrap returns a copy of e that carries the cause err.
@@ -95,8 +95,8 @@
 	return &c
 }
 
-// After returns a copy of e that tells the caller when to come back.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that tells the caller when to come back.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
