--- a/pkg/admit/caution.go
+++ b/pkg/admit/caution.go
@@ -70,7 +70,7 @@
 // if it is not.
 func (c *Core) endsRefusal(r *request) *verdict.Error {
 	if standing := c.suspects.Status(c.now, r.Digest); standing.Blocked(c.now) {
-		return errEnds.After(standing.BlockedUntil - c.now)
+		return errEnds.WithRetryAfter(standing.BlockedUntil - c.now)
 	}
 	return nil
 }
