--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -66,13 +66,13 @@
 		return front.Grant{}, got.err
 	}
 	return front.Grant{
-		ID: got.id, Backend: got.start.Backend.Name, Address: got.start.Backend.Address, Born: got.start.Backend.Born, Why: got.start.Why,
-		FetchFrom: got.start.FetchFrom, Connections: d.connectionShare(r.Model),
-		Ahead: got.start.Ahead, Expected: got.start.Expected, Running: got.start.Running,
+		ID: got.id, Backend: got.start.Backend.Name, Address: got.start.Backend.Address, StartTime: got.start.Backend.Born, Reason: got.start.Reason,
+		CopyPrefixFrom: got.start.FetchFrom, MaxConnections: d.connectionShare(r.Model),
+		TokensAhead: got.start.TokensAhead, ExpectedFirstEvent: got.start.ExpectedDelay, Running: got.start.Running,
 		Served: got.tokens, Waited: r.Waited + got.waited,
-		First:   func() { d.post(firstOutputEvent{got.id}) },
-		Said:    func(w backend.Said) { d.post(noticeEvent{got.id, w}) },
-		Hurried: d.Saturated,
+		OnFirstEvent: func() { d.post(firstOutputEvent{got.id}) },
+		OnNotice:     func(w backend.Notice) { d.post(noticeEvent{got.id, w}) },
+		Saturated:    d.Saturated,
 		// A router that stood still for longer has lost its place to another.
 		MayStart: func() bool { return d.now()-got.decidedAt < d.startTimeout() },
 	}, nil
@@ -81,9 +81,9 @@
 // startTimeout is how long a place may be used after it was given.
 func (d *Dispatcher) startTimeout() time.Duration {
 	if d.opt.weighted {
-		return admit.StartWithin
+		return admit.GrantTTL
 	}
-	return admit.EntryLostAfter
+	return admit.AttemptTTL
 }
 
 // idleConnectionShare of the connections that a backend server takes is divided among the
@@ -121,7 +121,7 @@
 // wasDisconnected reports whether the backend server broke off while the request was under way
 // there. One that falls silent may only be slow, as all are where a machine has no time.
 func wasDisconnected(u front.Usage) bool {
-	return u.Error != nil && u.Sent && !u.Silent && (u.Error.Code == "answer-cut" || u.Error.Code == "backend-broke")
+	return u.Error != nil && u.Sent && !u.Stalled && (u.Error.Code == "answer-cut" || u.Error.Code == "backend-broke")
 }
 
 // resultOf tells what an attempt's end says of the backend server.
@@ -131,10 +131,10 @@
 		return admit.Failed
 	case u.Error == nil:
 		return admit.Answered
-	case u.Silent:
-		return admit.Silent
-	case u.Failed:
-		return admit.Unreached
+	case u.Stalled:
+		return admit.Stalled
+	case u.Unreachable:
+		return admit.Unreachable
 	}
 	switch u.Error.Code {
 	case "backend-refused":
@@ -142,7 +142,7 @@
 	case "backend-failed":
 		return admit.Failed
 	case "backend-replaced":
-		return admit.Unreached
+		return admit.Unreachable
 	case "caller-gone", "deadline", "lease-expired":
 		return admit.Unknown
 	default:
@@ -150,8 +150,8 @@
 	}
 }
 
-// MayRetry implements front.Scheduler.
-func (d *Dispatcher) MayRetry(r front.Request) bool {
+// SpendRetry implements front.Scheduler.
+func (d *Dispatcher) SpendRetry(r front.Request) bool {
 	answer := make(chan bool, 1)
 	if !d.post(retryEvent{r.Model, answer}) {
 		return false
@@ -170,7 +170,7 @@
 }
 
 func (e retryEvent) apply(s *state) {
-	routers := s.roster.Lately(s.now, s.retryRule.Window)
+	routers := s.roster.CountRecent(s.now, s.retryRule.Window)
 	e.answer <- s.allowance.Spend(s.now, e.service, routers)
 }
 
@@ -181,7 +181,7 @@
 	id := s.nextID
 	s.waiting[id] = e.attempt
 	if s.d.opt.weighted && s.d.Draining() {
-		s.reply(id, decision{err: errDraining.After(time.Second)})
+		s.reply(id, decision{err: errDraining.WithRetryAfter(time.Second)})
 		return
 	}
 	r := &e.request
@@ -190,9 +190,9 @@
 	}
 	s.step(admit.Arrive{Request: admit.Request{
 		ID: id, Service: r.Model, Account: r.Account, AccountRank: r.AccountRank, Rank: r.Rank, Prefix: r.Prefix,
-		Prompt: r.Prompt, Shared: r.Shared, Output: r.Output, Target: r.Target, Patience: r.Patience,
-		Deadline: s.now + r.Deadline.Sub(e.arrivedAt), Again: r.Attempt > 0, Begun: r.Begun, Avoid: r.Avoid,
-		Answering: r.Answering, Digest: e.digest, Priority: r.Priority,
+		Prompt: r.Prompt, Shared: r.Shared, Output: r.Output, Target: r.Target, MaxWait: r.MaxWait,
+		Deadline: s.now + r.Deadline.Sub(e.arrivedAt), Retry: r.Attempt > 0, MayHaveRun: r.MayHaveRun, Avoid: r.Avoid,
+		Resuming: r.Resuming, Digest: e.digest, Priority: r.Priority,
 	}})
 }
 
@@ -236,21 +236,21 @@
 	}
 	for id := range s.waiting {
 		s.step(admit.Cancel{ID: id})
-		s.reply(id, decision{err: errDraining.After(time.Second)})
+		s.reply(id, decision{err: errDraining.WithRetryAfter(time.Second)})
 	}
 }
 
 type firstOutputEvent struct{ id uint64 }
 
-func (e firstOutputEvent) apply(s *state) { s.step(admit.First{ID: e.id}) }
+func (e firstOutputEvent) apply(s *state) { s.step(admit.FirstEvent{ID: e.id}) }
 
 type noticeEvent struct {
 	id     uint64
-	notice backend.Said
+	notice backend.Notice
 }
 
 func (e noticeEvent) apply(s *state) {
-	s.step(admit.Said{ID: e.id, Leaving: e.notice.Leaving, Rest: e.notice.Rest})
+	s.step(admit.BackendNotice{ID: e.id, Leaving: e.notice.Leaving, Backoff: e.notice.RetryAfter})
 }
 
 type endEvent struct {
@@ -269,7 +269,7 @@
 	result := adjustResult(e.result, s.d.Saturated())
 	s.ending = e.request
 	delete(s.served, e.id)
-	s.step(admit.End{ID: e.id, Tokens: e.tokens, Result: result, Digest: e.digest, Cut: e.disconnected && result != admit.Unknown, Whole: e.completed})
+	s.step(admit.AttemptEnd{ID: e.id, Tokens: e.tokens, Result: result, Digest: e.digest, Disconnected: e.disconnected && result != admit.Unknown, Completed: e.completed})
 	s.ending = ""
 }
 
@@ -277,7 +277,7 @@
 // hurried or not: one that cannot keep up hears late of everything, so that a silence may
 // be its own.
 func adjustResult(result admit.Result, hurried bool) admit.Result {
-	if hurried && (result == admit.Silent || result == admit.Unreached) {
+	if hurried && (result == admit.Stalled || result == admit.Unreachable) {
 		return admit.Unknown
 	}
 	return result
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -30,10 +30,10 @@
 // Source is the platform as a router reads it.
 type Source interface {
 	// Read reads everything as it is now.
-	Read(ctx context.Context) (catalog.News, error)
+	Read(ctx context.Context) (catalog.Update, error)
 	// Watch waits for changes after a revision. Its error is
-	// catalog.ErrForgotten if the platform does not remember them.
-	Watch(ctx context.Context, after catalog.Revision, wait time.Duration) (catalog.News, error)
+	// catalog.ErrCompacted if the platform does not remember them.
+	Watch(ctx context.Context, after catalog.Revision, wait time.Duration) (catalog.Update, error)
 	// Revision returns the platform's revision as it is now.
 	Revision(ctx context.Context) (catalog.Revision, error)
 }
@@ -134,11 +134,11 @@
 
 // Forwarder hands callers' connections on to other routers.
 type Forwarder interface {
-	// SetNeighbours replaces the routers that take some, KeepOnly ends what is under
+	// SetPeers replaces the routers that take some, EndStreamsExcept ends what is under
 	// way with all that do not live, Lost with one.
-	SetNeighbours(list []forward.Neighbour)
-	KeepOnly(live map[string]bool)
-	Lost(address string)
+	SetPeers(list []forward.Peer)
+	EndStreamsExcept(live map[string]bool)
+	EndStreams(address string)
 }
 
 // WithForwarder sets who is told of the other routers to which connections may be handed.
@@ -166,7 +166,7 @@
 // WithUniqueStarts says that each start of a backend server has a name of its own unless the
 // directory gives it a number, and refuses what is meant for another.
 func WithUniqueStarts() Option {
-	return func(o *options) { o.coreOptions = append(o.coreOptions, admit.WithUniqueStarts()) }
+	return func(o *options) { o.coreOptions = append(o.coreOptions, admit.WithUniqueIncarnations()) }
 }
 
 // WithRandom sets the source of random numbers in [0, 1) that selects which requests are
@@ -251,7 +251,7 @@
 	defer soon.Stop()
 	armed := true
 	for {
-		if !armed && s.core.Busy() {
+		if !armed && s.core.NeedsTicks() {
 			soon.Reset(busyTickInterval)
 			armed = true
 		}
--- a/internal/dispatch/flood_test.go
+++ b/internal/dispatch/flood_test.go
@@ -113,7 +113,7 @@
 	d := &Dispatcher{opt: options{clock: clock.System(), log: slog.New(slog.DiscardHandler), random: rand.Float64}}
 	d.admission = newAdmission()
 	store(&d.admission.parts, map[wire.Key]float64{key: share})
-	return &floodedRouter{loadedRouter: newLoadedRouter(&state{d: d, core: admit.New(admit.Router{Address: "r"}), pace: admit.NewPace(smallCores)})}
+	return &floodedRouter{loadedRouter: newLoadedRouter(&state{d: d, core: admit.New(admit.Router{Address: "r"}), pace: admit.NewCapacityEstimator(smallCores)})}
 }
 
 // step lets time pass.
@@ -129,7 +129,7 @@
 
 // take takes a request in or returns when its caller is to come back.
 func (r *floodedRouter) take(q front.Request) (comeBack time.Duration) {
-	if err := r.s.d.Screen(q); err != nil {
+	if err := r.s.d.CheckAdmission(q); err != nil {
 		r.backlog += refusalCost
 		return err.RetryAfter
 	}
--- a/internal/dispatch/follow.go
+++ b/internal/dispatch/follow.go
@@ -82,14 +82,14 @@
 		}
 		wait.Reset()
 		if !n.Empty() || len(n.Skipped) > 0 {
-			d.post(updateEvent{News: n})
+			d.post(updateEvent{Update: n})
 			d.sleep(time.Duration(watchPauseFraction * float64(d.shared.applyWithin.Load())))
 		}
 	}
 }
 
 // readPlatform reads everything that is published.
-func (d *Dispatcher) readPlatform() (catalog.News, error) {
+func (d *Dispatcher) readPlatform() (catalog.Update, error) {
 	known := d.asOf()
 	n, err := d.source.Read(d.ctx)
 	if err == nil {
@@ -102,14 +102,14 @@
 var errEpochChanged = errors.New("dispatch: the platform came back from a copy")
 
 // watchOnce waits for changes after a revision, and reads everything if they are forgotten.
-func (d *Dispatcher) watchOnce(asOf catalog.Revision) (catalog.News, error) {
+func (d *Dispatcher) watchOnce(asOf catalog.Revision) (catalog.Update, error) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	defer cancel()
 	d.shared.cancelWatch.Store(&cancel)
 	n, err := d.source.Watch(ctx, asOf, watchTimeout)
 	d.shared.cancelWatch.Store(nil)
 	switch {
-	case errors.Is(err, catalog.ErrForgotten):
+	case errors.Is(err, catalog.ErrCompacted):
 		return d.readPlatform()
 	case err != nil && d.asOf().Epoch != asOf.Epoch:
 		return n, errEpochChanged
@@ -212,7 +212,7 @@
 		return err
 	}
 	applied := make(chan struct{})
-	if d.post(updateEvent{News: n, at: begun, applied: applied}) {
+	if d.post(updateEvent{Update: n, at: begun, applied: applied}) {
 		select {
 		case <-applied:
 		case <-d.ctx.Done():
@@ -245,7 +245,7 @@
 
 // updateEvent is news of the platform, read by this router or told by another.
 type updateEvent struct {
-	catalog.News
+	catalog.Update
 	// senderName is the name of the router that told them, senderAddress its address; ""
 	// if read here.
 	senderName, senderAddress string
@@ -260,8 +260,8 @@
 		defer close(e.applied)
 	}
 	before := s.catalog.AsOf()
-	changed := s.catalog.Merge(s.now, e.News)
-	s.logUnusable(&e.News, e.senderName)
+	changed := s.catalog.Merge(s.now, e.Update)
+	s.logUnusable(&e.Update, e.senderName)
 	s.logOlderTable(&e)
 	asOf := s.catalog.AsOf()
 	s.d.shared.asOf.Store(&asOf)
@@ -308,7 +308,7 @@
 	s.d.opt.log.Info("table_in_force", "revision", v.Revision, "edition", v.Edition, "as_of", s.catalog.AsOf().Number, "epoch", s.catalog.AsOf().Epoch, "from", from,
 		"routes", len(v.Routes), "accounts", len(v.Accounts), "backends", len(v.Backends))
 	s.noteZones(v, from)
-	s.step(admit.View{Table: v})
+	s.step(admit.TableUpdate{Table: v})
 }
 
 // errNoData is why a router without a table is not ready.
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -71,4 +71,6 @@
 	inFlight int
 }
 
-func (e loadEvent) apply(s *state) { s.step(admit.Load{Backend: e.backend, InFlight: e.inFlight}) }
+func (e loadEvent) apply(s *state) {
+	s.step(admit.BackendLoad{Backend: e.backend, InFlight: e.inFlight})
+}
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -25,7 +25,7 @@
 	allowance *allowance.Allowance
 	retryRule allowance.Rule
 	links     map[string]*link
-	pace      *admit.Pace
+	pace      *admit.CapacityEstimator
 	nextID    uint64
 	waiting   map[uint64]*attempt
 	// When others were told last, one was told whom this one knows, news were asked for,
@@ -35,7 +35,7 @@
 	// limitedAt is when there was no time for all last, 0 if never.
 	limitedAt time.Duration
 	// talk is whom this router tells what, digest that of its roster.
-	talk   roster.Talk
+	talk   roster.Plan
 	digest uint64
 	// changes counts the changes of the roster, changed is with which of them
 	// each router in it came to be told as it is.
@@ -53,13 +53,13 @@
 	// ending is the caller's id of the request whose attempt's end is taken in now.
 	ending string
 	// cleared counts ends of requests that are not remembered any more, by the reason.
-	cleared map[suspect.Why]int64
+	cleared map[suspect.Reason]int64
 	// suspectsAt is when a router was last told of all suspects, suspectsTo how many
 	// were.
 	suspectsAt time.Duration
 	suspectsTo int
 	// untrusted are the backend servers that were last logged as such.
-	untrusted map[string]admit.Untrusted
+	untrusted map[string]admit.Ejection
 	// routers are those that the core was last told of, known how many it was told
 	// are known in each zone.
 	routers []admit.Router
@@ -101,12 +101,12 @@
 		keys:      newIdempotencyKeys(d.id.Address, now, d.opt.wallClock()),
 		served:    map[uint64]*atomic.Int64{},
 		loads:     map[string]context.CancelFunc{},
-		cleared:   map[suspect.Why]int64{},
-		pace:      admit.NewPace(d.id.Capacity),
+		cleared:   map[suspect.Reason]int64{},
+		pace:      admit.NewCapacityEstimator(d.id.Capacity),
 		waiting:   map[uint64]*attempt{},
 	}
 	part := func(p float64) time.Duration { return time.Duration(p * float64(d.opt.applyWithin)) }
-	s.catalog = catalog.New(catalog.WithKeep(part(keepPart)), catalog.WithMissing(part(missingPart)), catalog.WithOwn(s.isOwn))
+	s.catalog = catalog.New(catalog.WithRemovalGrace(part(keepPart)), catalog.WithUnlistedGrace(part(missingPart)), catalog.WithOwnAddress(s.isOwn))
 	return s
 }
 
@@ -117,7 +117,7 @@
 	s.now = s.d.now()
 	s.notePause()
 	ev.apply(s)
-	if s.core.HasSuspectNews() {
+	if s.core.HasSuspectUpdates() {
 		s.tellSuspects()
 	}
 }
@@ -135,7 +135,7 @@
 
 // stoodStill takes in that this router did nothing since a moment.
 func (s *state) stoodStill(from time.Duration) {
-	s.roster.Paused(from, s.now)
+	s.roster.RecordPause(from, s.now)
 	if s.now-from >= maxVouchPause {
 		s.keys.homes.Woke(s.now + s.keys.wallOffset)
 	}
@@ -152,12 +152,12 @@
 			s.reply(a.ID, decision{err: a.Err, waited: a.Waited})
 		case admit.Send:
 			s.d.net.Send(a.To, a.Msg)
-		case admit.Suspected:
+		case admit.SuspectAdded:
 			s.logSuspected(a)
-		case admit.Cleared:
+		case admit.SuspectCleared:
 			s.noteCleared(a)
-		case admit.Heard:
-			s.d.opt.log.Warn("backend_word", "backend", a.Backend, "leaving", a.Leaving, "rest_ms", a.Rest.Milliseconds(), "from", a.From)
+		case admit.NoticeReceived:
+			s.d.opt.log.Warn("backend_word", "backend", a.Backend, "leaving", a.Leaving, "rest_ms", a.Backoff.Milliseconds(), "from", a.From)
 		}
 	}
 }
@@ -165,7 +165,7 @@
 type tickEvent struct{}
 
 func (tickEvent) apply(s *state) {
-	s.catalog.Verified(time.Duration(s.d.shared.lastVerified.Load()))
+	s.catalog.MarkVerified(time.Duration(s.d.shared.lastVerified.Load()))
 	if s.catalog.Refresh(s.now) {
 		s.applyTable("")
 	}
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -45,7 +45,7 @@
 	SuspectCount int       `json:"suspect_count"`
 	// TerminationsCleared counts the backend terminations that are no longer tracked, by
 	// reason.
-	TerminationsCleared map[suspect.Why]int64 `json:"ends_cleared,omitempty"`
+	TerminationsCleared map[suspect.Reason]int64 `json:"ends_cleared,omitempty"`
 	// ClosedZones are the availability zones that operators have closed, Warming how
 	// many backend servers warm up.
 	ClosedZones []string `json:"closed_zones"`
@@ -81,7 +81,7 @@
 		ClosedZones: s.closed, Warming: s.core.Warming(), SuspendedMillis: s.suspended.Milliseconds(),
 	}
 	st.Unusable, st.UnusableCount = s.unusableEntries()
-	st.UnusableTotal = s.catalog.Damaged()
+	st.UnusableTotal = s.catalog.UnusableTotals()
 	st.Untrusted = slices.Sorted(maps.Keys(s.untrusted))
 	s.publishWords(st)
 	st.Suspects, st.SuspectCount = s.suspects()
@@ -97,7 +97,7 @@
 
 // publishWords tells which backend servers leave or rest by their own word.
 func (s *state) publishWords(st *Status) {
-	leaving, resting := s.core.Words()
+	leaving, resting := s.core.Notices()
 	st.Leaving, st.BackingOff = leaving, make(map[string]int64, len(resting))
 	for name, left := range resting {
 		st.BackingOff[name] = left.Milliseconds()
@@ -107,10 +107,10 @@
 // logTrust logs which backend servers this router has ceased or begun again to
 // trust.
 func (s *state) logTrust() {
-	now := s.core.Untrusted()
+	now := s.core.Ejected()
 	for name, u := range now {
 		if _, before := s.untrusted[name]; !before {
-			s.d.opt.log.Warn("backend_untrusted", "backend", name, "failed_part", u.Bad, "strikes", u.Strikes)
+			s.d.opt.log.Warn("backend_untrusted", "backend", name, "failed_part", u.FailureRate, "strikes", u.Count)
 		}
 	}
 	for name := range s.untrusted {
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -350,9 +350,9 @@
 		r.d.recordVerified(now)
 		r.step(verifiedEvent{})
 	case due:
-		r.step(updateEvent{News: catalog.News{AsOf: w.shown, Table: w.tableAt(w.shown)}, at: now})
+		r.step(updateEvent{Update: catalog.Update{AsOf: w.shown, Table: w.tableAt(w.shown)}, at: now})
 	case watches && w.shown > asOf:
-		r.step(updateEvent{News: catalog.News{After: asOf, AsOf: w.shown, Table: w.tableAt(w.shown)}})
+		r.step(updateEvent{Update: catalog.Update{After: asOf, AsOf: w.shown, Table: w.tableAt(w.shown)}})
 	}
 }
 
--- a/pkg/admit/caution_test.go
+++ b/pkg/admit/caution_test.go
@@ -62,7 +62,7 @@
 					tc.disturb(w)
 				}
 				w.run(end)
-				if x.under[7] == 0 || x.under[7] > tc.most || tc.most == suspect.MostEnds && x.late > 0 {
+				if x.under[7] == 0 || x.under[7] > tc.most || tc.most == suspect.MaxCrashes && x.late > 0 {
 					t.Errorf("seed %d: %d servers ended, %d sends, %d of them late", seed, x.under[7], x.sends[7], x.late)
 				}
 				if x.barred > 0 {
@@ -89,7 +89,7 @@
 				early++
 			}
 		}
-		if x.under[7] < 2 || x.under[7] > max(suspect.MostEnds, early) {
+		if x.under[7] < 2 || x.under[7] > max(suspect.MaxCrashes, early) {
 			t.Errorf("seed %d: %d servers ended, %d tries were under way before the first end", seed, x.under[7], early)
 		}
 	}
@@ -104,14 +104,14 @@
 		}
 	}
 	w.cores[router] = admit.New(admit.Router{Address: router, Zone: zoneOf(router)}, admit.WithSeed(99))
-	w.step(router, admit.View{Table: w.table})
+	w.step(router, admit.TableUpdate{Table: w.table})
 	w.tellRouters()
 	for _, other := range w.order {
 		if other == router {
 			continue
 		}
 		w.step(other, admit.PeerGone{From: router})
-		if m := w.cores[other].AllSuspects(w.now); m != nil {
+		if m := w.cores[other].WorstSuspects(w.now); m != nil {
 			w.deliver(other, router, m)
 		}
 	}
@@ -125,7 +125,7 @@
 	}
 	for i, router := range w.order {
 		w.cores[router] = admit.New(admit.Router{Address: router, Zone: zoneOf(router)}, admit.WithSeed(uint64(200+i)))
-		w.step(router, admit.View{Table: w.table})
+		w.step(router, admit.TableUpdate{Table: w.table})
 	}
 	w.tellRouters()
 }
@@ -304,7 +304,7 @@
 	w.step(router, admit.Message{From: "other", Msg: &wire.Suspects{Ends: ends}})
 	w.ask(router, admit.Request{Prompt: 900, Digest: 7})
 	w.run(w.now + 50*time.Millisecond)
-	beside := w.ask(router, admit.Request{Prompt: 900, Digest: 8, Patience: time.Second})
+	beside := w.ask(router, admit.Request{Prompt: 900, Digest: 8, MaxWait: time.Second})
 	w.run(w.now + 20*time.Millisecond)
 	if _, started := w.starts[beside]; started {
 		t.Error("another request joined it")
@@ -364,7 +364,7 @@
 		if x.barred > 0 || served < 300 {
 			t.Errorf("seed %d: %d are refused for ends of servers, %d served once these are past; %d ended under the deadly one", seed, x.barred, served, x.under[7])
 		}
-		if x.under[7] > suspect.MostEnds+2 {
+		if x.under[7] > suspect.MaxCrashes+2 {
 			t.Errorf("seed %d: %d servers ended under the deadly request", seed, x.under[7])
 		}
 	}
