--- a/cmd/yarrowctl/status_row.go
+++ b/cmd/yarrowctl/status_row.go
@@ -88,7 +88,7 @@
 		return "-"
 	}
 	worst := d.Suspects[0]
-	return fmt.Sprintf("%d: %s %d ends", d.SuspectCount, worst.Digest, worst.Terminations)
+	return fmt.Sprintf("%d: %s %d ends", d.SuspectCount, worst.Digest, worst.Crashes)
 }
 
 // suspendedOf tells for how long the router's machine was suspended.
--- a/cmd/yarrowctl/status_row_test.go
+++ b/cmd/yarrowctl/status_row_test.go
@@ -25,7 +25,7 @@
 			dispatch.Status{Name: "b", Zone: "y", Table: 9, UnusableCount: 2, Unusable: []dispatch.UnusableEntry{{Backend: "i-1", Reason: "wrong-type", Field: "slots"}, {Backend: "i-2", Reason: "unreadable"}}},
 			[]string{"b", "y", "9", "0", "0", "-", "-", "-", "-", "2: i-1 wrong-type slots", "-", "-", "serving"}},
 		"servers that leave and rest, and suspects": {
-			dispatch.Status{Name: "b", Zone: "y", Table: 9, Leaving: []string{"i-1"}, BackingOff: map[string]int64{"i-2": 900, "i-3": 20}, SuspectCount: 12, Suspects: []dispatch.Suspect{{Digest: "0a", Terminations: 3}, {Digest: "0b", Terminations: 1}}},
+			dispatch.Status{Name: "b", Zone: "y", Table: 9, Leaving: []string{"i-1"}, BackingOff: map[string]int64{"i-2": 900, "i-3": 20}, SuspectCount: 12, Suspects: []dispatch.Suspect{{Digest: "0a", Crashes: 3}, {Digest: "0b", Crashes: 1}}},
 			[]string{"b", "y", "9", "0", "0", "-", "-", "-", "-", "-", "1, 2", "12: 0a 3 ends", "serving"}},
 		"suspended before": {
 			dispatch.Status{Name: "b", Zone: "y", Table: 9, SuspendedMillis: 6240},
--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -221,7 +221,7 @@
 	}
 	select {
 	case got := <-e.result:
-		delete(s.served, got.id)
+		delete(s.tokenCounts, got.id)
 		s.step(admit.Cancel{ID: got.id})
 	default:
 	}
@@ -267,10 +267,10 @@
 
 func (e endEvent) apply(s *state) {
 	result := adjustResult(e.result, s.d.Saturated())
-	s.ending = e.request
-	delete(s.served, e.id)
+	s.endingRequest = e.request
+	delete(s.tokenCounts, e.id)
 	s.step(admit.AttemptEnd{ID: e.id, Tokens: e.tokens, Result: result, Digest: e.digest, Disconnected: e.disconnected && result != admit.Unknown, Completed: e.completed})
-	s.ending = ""
+	s.endingRequest = ""
 }
 
 // adjustResult is what an attempt's end says of the backend server, told by a router that is
--- a/internal/dispatch/epoch.go
+++ b/internal/dispatch/epoch.go
@@ -7,7 +7,7 @@
 
 // entered takes in that the platform came back from a copy: others ask for what it lists
 // now, and are told what it lost.
-func (s *state) entered(before catalog.Revision, from string) {
+func (s *state) handleNewEpoch(before catalog.Revision, from string) {
 	asOf, kept := s.catalog.AsOf(), s.catalog.Retained()
 	servers, zones := 0, 0
 	if kept != nil {
@@ -18,19 +18,19 @@
 	if end := s.d.shared.cancelWatch.Load(); end != nil {
 		(*end)()
 	}
-	s.tellKnown()
-	s.tellRetained("")
+	s.broadcastVerified()
+	s.broadcastRetained("")
 }
 
 // tellRetained tells all with whom this router talks but one what it keeps of earlier epochs.
-func (s *state) tellRetained(but string) {
-	if m := s.retainedNews(); m != nil {
-		s.sendToAll(m, but)
+func (s *state) broadcastRetained(but string) {
+	if m := s.retainedUpdate(); m != nil {
+		s.broadcast(m, but)
 	}
 }
 
 // retainedNews returns what is kept of earlier epochs, nil if nothing is.
-func (s *state) retainedNews() *wire.News {
+func (s *state) retainedUpdate() *wire.News {
 	kept := s.catalog.Retained()
 	if kept == nil {
 		return nil
--- a/internal/dispatch/fleet_flood_test.go
+++ b/internal/dispatch/fleet_flood_test.go
@@ -118,7 +118,7 @@
 		}
 	}
 	for _, r := range f.routers {
-		r.s.neighbours = zoneRouters - 1
+		r.s.forwardPeers = zoneRouters - 1
 	}
 	for _, zone := range zones {
 		for _, r := range zone {
@@ -184,7 +184,7 @@
 		for _, r := range f.routers {
 			r.step(now)
 			if now%toldEvery == 0 {
-				r.hear(f)
+				r.handleState(f)
 			}
 		}
 	}
@@ -311,20 +311,20 @@
 // step lets time pass.
 func (r *fleetRouter) step(now time.Duration) {
 	r.workOff(r.cores - baseCores)
-	if now%lagEvery == 0 {
+	if now%lagInterval == 0 {
 		r.probes = append(r.probes, probe{now + r.late(), r.late()})
 	}
 	for len(r.probes) > 0 && now >= r.probes[0].heard {
 		r.s.now = clockStart + now
-		r.s.keepPace(r.probes[0].late)
-		r.s.screenIfDue()
+		r.s.observeDelay(r.probes[0].late)
+		r.s.updateAdmission()
 		r.probes = r.probes[1:]
 	}
 	r.checkReady(now)
 }
 
 // hear takes in the flows of the fleet. Each router counts itself what is asked here.
-func (r *fleetRouter) hear(f *floodFleet) {
+func (r *fleetRouter) handleState(f *floodFleet) {
 	own := map[wire.Key]float64{}
 	for _, x := range r.s.core.Snapshot(r.s.now).Flows(wire.ScopeOwn, "") {
 		own[x.Account] = float64(x.Asked)
--- a/internal/dispatch/fleet_model_test.go
+++ b/internal/dispatch/fleet_model_test.go
@@ -88,7 +88,7 @@
 			r := f.routers[address]
 			r.now = f.now
 			if f.now%tickInterval == 0 {
-				r.tellOthers()
+				r.sendReports()
 			}
 		}
 	}
--- a/internal/dispatch/flood_test.go
+++ b/internal/dispatch/flood_test.go
@@ -112,8 +112,8 @@
 func newFloodedRouter(key wire.Key, share float64) *floodedRouter {
 	d := &Dispatcher{opt: options{clock: clock.System(), log: slog.New(slog.DiscardHandler), random: rand.Float64}}
 	d.admission = newAdmission()
-	store(&d.admission.parts, map[wire.Key]float64{key: share})
-	return &floodedRouter{loadedRouter: newLoadedRouter(&state{d: d, core: admit.New(admit.Router{Address: "r"}), pace: admit.NewCapacityEstimator(smallCores)})}
+	storeFractions(&d.admission.fractions, map[wire.Key]float64{key: share})
+	return &floodedRouter{loadedRouter: newLoadedRouter(&state{d: d, core: admit.New(admit.Router{Address: "r"}), estimator: admit.NewCapacityEstimator(smallCores)})}
 }
 
 // step lets time pass.
@@ -121,8 +121,8 @@
 	r.workOff(floodProcessor)
 	if now%(50*time.Millisecond) == 0 {
 		r.s.now = time.Hour + now
-		r.s.keepPace(time.Duration(float64(r.backlog) / floodProcessor))
-		r.s.planWork()
+		r.s.observeDelay(time.Duration(float64(r.backlog) / floodProcessor))
+		r.s.replan()
 	}
 	r.checkReady(now)
 }
@@ -184,7 +184,7 @@
 		if now < lasts {
 			come = perSecond * int(floodStep) / int(time.Second)
 		} else {
-			store(&first.s.d.admission.parts, nil)
+			storeFractions(&first.s.d.admission.fractions, nil)
 		}
 		asked += come
 		for n := range come + returning[now/floodStep] {
--- a/internal/dispatch/follow.go
+++ b/internal/dispatch/follow.go
@@ -273,14 +273,14 @@
 	}
 	switch {
 	case asOf.Epoch != before.Epoch && !before.IsZero():
-		s.entered(before, e.senderName)
+		s.handleNewEpoch(before, e.senderName)
 	case before.Before(asOf):
-		s.spread(before.Number, e.senderAddress)
+		s.broadcastUpdate(before.Number, e.senderAddress)
 	case asOf.IsZero():
 		// Who was asked knew nothing either: the next may be asked at once.
-		s.askedNews = 0
-	case changed && e.Retained != nil && s.talk.Relay:
-		s.tellRetained(e.senderAddress)
+		s.updateRequestedAt = 0
+	case changed && e.Retained != nil && s.peerPlan.Relay:
+		s.broadcastRetained(e.senderAddress)
 	}
 }
 
@@ -307,7 +307,7 @@
 	s.d.shared.table.Store(v)
 	s.d.opt.log.Info("table_in_force", "revision", v.Revision, "edition", v.Edition, "as_of", s.catalog.AsOf().Number, "epoch", s.catalog.AsOf().Epoch, "from", from,
 		"routes", len(v.Routes), "accounts", len(v.Accounts), "backends", len(v.Backends))
-	s.noteZones(v, from)
+	s.logZoneChanges(v, from)
 	s.step(admit.TableUpdate{Table: v})
 }
 
--- a/internal/dispatch/freeze.go
+++ b/internal/dispatch/freeze.go
@@ -2,7 +2,7 @@
 
 // PauseLoop blocks the event loop until resume is called, to simulate a paused process. It is
 // meant for tests and measurements.
-func (d *Dispatcher) PauseLoop() (thaw func()) {
+func (d *Dispatcher) PauseLoop() (resume func()) {
 	begun, end := make(chan struct{}), make(chan struct{})
 	if !d.post(pauseEvent{begun, end}) {
 		return func() {}
--- a/internal/dispatch/instances.go
+++ b/internal/dispatch/instances.go
@@ -16,7 +16,7 @@
 }
 
 // listPause is the shortest time between two readings of the list, drawn up to twice that.
-const listPause = 100 * time.Millisecond
+const listInterval = 100 * time.Millisecond
 
 // watchInstances is the task that follows the platform's list of routers: it names whom to
 // try first, and which routers are homes of keys.
@@ -34,7 +34,7 @@
 			after = list.Revision
 			d.post(instancesEvent{list})
 		}
-		d.sleep(listPause + rand.N(listPause))
+		d.sleep(listInterval + rand.N(listInterval))
 	}
 }
 
--- a/internal/dispatch/lag.go
+++ b/internal/dispatch/lag.go
@@ -8,7 +8,7 @@
 
 // lagEvery is the interval at which it is measured how late this process
 // learns of what came to its sockets.
-const lagEvery = 50 * time.Millisecond
+const lagInterval = 50 * time.Millisecond
 
 // measureLag is the task that writes to a pipe and sees how late the other end
 // hears of it: a process with too little time still runs its timers, but looks
@@ -22,7 +22,7 @@
 	d.tasks.Add(1)
 	go func() {
 		defer d.tasks.Done()
-		d.writeLag(w)
+		d.writeLagProbes(w)
 	}()
 	defer func() { _ = r.Close() }()
 	var buf [8]byte
@@ -36,9 +36,9 @@
 }
 
 // writeLag writes the time into the pipe until the dispatcher ends.
-func (d *Dispatcher) writeLag(w *os.File) {
+func (d *Dispatcher) writeLagProbes(w *os.File) {
 	defer func() { _ = w.Close() }()
-	tick := time.NewTicker(lagEvery)
+	tick := time.NewTicker(lagInterval)
 	defer tick.Stop()
 	var buf [8]byte
 	for {
@@ -58,4 +58,4 @@
 // lagEvent says how late this process heard of something.
 type lagEvent struct{ by time.Duration }
 
-func (e lagEvent) apply(s *state) { s.keepPace(e.by) }
+func (e lagEvent) apply(s *state) { s.observeDelay(e.by) }
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -15,37 +15,37 @@
 
 const (
 	// loadEvery is the interval at which the owner of a backend server reads its load.
-	loadEvery = time.Second
+	loadInterval = time.Second
 	// ownedEvery is the interval at which is looked which backend servers are owned.
-	ownedEvery = 200 * time.Millisecond
+	ownedCheckInterval = 200 * time.Millisecond
 )
 
 // WithLoadReader makes the router poll the load of the backend servers that it owns.
 func WithLoadReader(l LoadReader) Option { return func(o *options) { o.loadReader = l } }
 
 // followLoads starts and ends the readers, one for each backend server that is owned.
-func (s *state) followLoads() {
-	if s.d.opt.loadReader == nil || s.now-s.ownedAt < ownedEvery {
+func (s *state) updateLoadReaders() {
+	if s.d.opt.loadReader == nil || s.now-s.ownedCheckedAt < ownedCheckInterval {
 		return
 	}
-	s.ownedAt = s.now
-	owned := make(map[string]bool, len(s.loads))
+	s.ownedCheckedAt = s.now
+	owned := make(map[string]bool, len(s.loadReaders))
 	for _, b := range s.core.OwnedBackends() {
 		owned[b.Name] = true
-		if _, ok := s.loads[b.Name]; !ok {
-			s.loads[b.Name] = s.d.readLoads(b)
+		if _, ok := s.loadReaders[b.Name]; !ok {
+			s.loadReaders[b.Name] = s.d.startLoadReader(b)
 		}
 	}
-	for name, end := range s.loads {
+	for name, end := range s.loadReaders {
 		if !owned[name] {
 			end()
-			delete(s.loads, name)
+			delete(s.loadReaders, name)
 		}
 	}
 }
 
 // readLoads starts the task that reads a backend server's load.
-func (d *Dispatcher) readLoads(b table.Backend) (end context.CancelFunc) {
+func (d *Dispatcher) startLoadReader(b table.Backend) (end context.CancelFunc) {
 	ctx, end := context.WithCancel(d.ctx)
 	d.tasks.Add(1)
 	go func() {
@@ -58,7 +58,7 @@
 				d.post(loadEvent{b.Name, n})
 			}
 			select {
-			case <-time.After(loadEvery):
+			case <-time.After(loadInterval):
 			case <-ctx.Done():
 			}
 		}
--- a/internal/dispatch/members.go
+++ b/internal/dispatch/members.go
@@ -16,24 +16,24 @@
 // membersEach bounds how often is worked out who lives, relays and owns: not sooner after
 // the last time than so long for each known router. It takes 1 us and more for each, and
 // where all start at once each hears of all others, several times.
-const membersEach = 200 * time.Microsecond
+const membersIntervalPerRouter = 200 * time.Microsecond
 
 // heardOfMembers takes in that another router lives or does not, or what another one
 // believes of that, at once or with what else is heard in a moment.
-func (s *state) heardOfMembers() {
-	s.membersDue = s.now-s.membersAt < membersEach*time.Duration(s.d.shared.routerCount.Load())
-	if !s.membersDue {
-		s.membersChanged()
+func (s *state) scheduleMembersUpdate() {
+	s.membersDirty = s.now-s.membersUpdatedAt < membersIntervalPerRouter*time.Duration(s.d.shared.routerCount.Load())
+	if !s.membersDirty {
+		s.updateMembers()
 	}
 }
 
 // membersChanged tells those who decide by the routers that live, if these
 // changed.
-func (s *state) membersChanged() {
-	s.membersAt, s.membersDue = s.now, false
-	s.talk = s.roster.Plan(s.now)
-	s.noteRoster()
-	s.takeTurn()
+func (s *state) updateMembers() {
+	s.membersUpdatedAt, s.membersDirty = s.now, false
+	s.peerPlan = s.roster.Plan(s.now)
+	s.updateRosterVersion()
+	s.updateReaderRank()
 	var routers []admit.Router
 	for _, address := range s.roster.Active(s.now) {
 		if m, ok := s.roster.Get(address); ok {
@@ -41,23 +41,23 @@
 		}
 	}
 	leaving, known := s.d.Draining(), s.roster.KnownByZone()
-	if slices.Equal(routers, s.routers) && leaving == s.left && maps.Equal(known, s.known) {
+	if slices.Equal(routers, s.routers) && leaving == s.leaving && maps.Equal(known, s.knownByZone) {
 		return
 	}
-	s.routers, s.left, s.known, s.hosts = routers, leaving, known, nil
+	s.routers, s.leaving, s.knownByZone, s.routerHostSet = routers, leaving, known, nil
 	all := 0
 	for _, n := range known {
 		all += n
 	}
 	s.d.shared.routerCount.Store(int64(all))
-	s.d.opt.log.Info("members", "live", len(routers)+1, "relay", s.talk.Relay, "mesh", s.talk.Mesh, "leaving", leaving)
+	s.d.opt.log.Info("members", "live", len(routers)+1, "relay", s.peerPlan.Relay, "mesh", s.peerPlan.Mesh, "leaving", leaving)
 	s.step(admit.Routers{List: routers, Leaving: leaving, KnownByZone: known})
-	s.tellForwarder()
+	s.updateForwarder()
 }
 
 // tellForwarder tells to which routers of the zone connections may be handed, and which
 // routers live.
-func (s *state) tellForwarder() {
+func (s *state) updateForwarder() {
 	f := s.d.opt.forwarder
 	if f == nil {
 		return
@@ -68,7 +68,7 @@
 			list = append(list, forward.Peer{Address: r.Address, Capacity: r.Weight()})
 		}
 	}
-	s.neighbours = len(list)
+	s.forwardPeers = len(list)
 	f.SetPeers(list)
 	live := map[string]bool{}
 	for _, address := range s.roster.Live(s.now) {
@@ -78,7 +78,7 @@
 }
 
 // takeTurn finds this router's place among those that read the platform.
-func (s *state) takeTurn() {
+func (s *state) updateReaderRank() {
 	staying := s.roster.Active(s.now)
 	turn := 0
 	if s.d.Draining() {
--- a/internal/dispatch/news_test.go
+++ b/internal/dispatch/news_test.go
@@ -48,7 +48,7 @@
 	if m := ask(5); m == later || m.After != 5 {
 		t.Errorf("who lacks the last change is told all: %+v", m)
 	}
-	s.now += allNewsFor
+	s.now += fullUpdateTTL
 	if m := ask(0); m == later {
 		t.Error("told as it was long ago")
 	}
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -13,28 +13,28 @@
 const (
 	// gossipEvery is the interval at which a router tells one other whom it
 	// knows, where nobody vouches for anyone.
-	gossipEvery = 2 * time.Second
+	gossipInterval = 2 * time.Second
 	// askNewsEvery bounds how often news are asked for, askAllEvery how often all that
 	// the platform published is: at 3,000 backend servers that takes 0.3 MB, which a
 	// router that starts would else get from each that it hears.
-	askNewsEvery = 100 * time.Millisecond
-	askAllEvery  = 300 * time.Millisecond
+	updateRequestInterval     = 100 * time.Millisecond
+	fullUpdateRequestInterval = 300 * time.Millisecond
 	// silentTellings is how many tellings may be missed before what was told
 	// counts no more.
-	silentTellings = 4
+	maxMissedReports = 4
 )
 
 // link is what is remembered of the talk with another router.
 type link struct {
 	inc uint64
 	// stamp is the last one received from it, stampAt when that was.
-	stamp   wire.Stamp
-	stampAt time.Duration
-	// digest is that of the roster that it was last told, changes how many
-	// changes of the roster had been by then.
-	digest, changes uint64
+	stamp           wire.Stamp
+	stampReceivedAt time.Duration
+	// rosterDigest is that of the roster that it was last told, rosterVersion how many
+	// rosterVersion of the roster had been by then.
+	rosterDigest, rosterVersion uint64
 	// askedWhole is when it was last asked for its whole roster.
-	askedWhole time.Duration
+	rosterRequestedAt time.Duration
 }
 
 // messageEvent is a message of another router.
@@ -45,30 +45,30 @@
 	if s.roster.Observe(s.now, member) {
 		s.d.opt.log.Info("member_heard", "peer", e.Name, "address", e.From, "zone", e.Zone, "incarnation", e.Inc)
 		if _, told := e.Msg.(*wire.Roster); !told {
-			s.tellRoster(e.From, true)
+			s.sendFullRoster(e.From, true)
 		}
 		if s.catalog.AsOf().IsZero() {
-			s.askNews(e.From)
+			s.requestUpdate(e.From)
 		}
-		if m := s.retainedNews(); m != nil {
+		if m := s.retainedUpdate(); m != nil {
 			s.d.net.Send(e.From, m)
 		}
-		s.tellAllSuspects(e.From)
-		s.heardOfMembers()
+		s.sendAllSuspects(e.From)
+		s.scheduleMembersUpdate()
 	}
 	switch m := e.Msg.(type) {
 	case *wire.State:
-		s.hear(e.Inbound, m)
+		s.handleState(e.Inbound, m)
 	case *wire.Ask, *wire.Reply, *wire.Note, *wire.Sync, *wire.Leaving, *wire.Suspects:
 		s.step(admit.Message{From: e.From, Msg: m})
 	case *wire.Uses:
-		s.hearUses(e.Inbound, m)
+		s.handleUsage(e.Inbound, m)
 	case *wire.Claim, *wire.ClaimVoid, *wire.ClaimAnswer:
 		s.handleClaimMessage(e.From, m)
 	case *wire.Roster:
-		s.learnRoster(e.From, m)
+		s.mergeRoster(e.From, m)
 	case *wire.NewsAsk:
-		s.d.net.Send(e.From, s.newsFor(m))
+		s.d.net.Send(e.From, s.updateSince(m))
 	case *wire.News:
 		indexTables(&m.Update)
 		updateEvent{Update: m.Checked(), senderName: e.Name, senderAddress: e.From}.apply(s)
@@ -86,50 +86,50 @@
 }
 
 func (s *state) link(to string) *link {
-	l, ok := s.links[to]
+	l, ok := s.peerLinks[to]
 	if !ok {
 		l = &link{}
-		s.links[to] = l
+		s.peerLinks[to] = l
 	}
 	return l
 }
 
 // hear takes in what another router has under way and how much it knows.
-func (s *state) hear(from peer.Inbound, m *wire.State) {
+func (s *state) handleState(from peer.Inbound, m *wire.State) {
 	l := s.link(from.From)
 	if l.inc < from.Inc {
 		*l = link{inc: from.Inc}
 	}
-	l.stamp, l.stampAt = m.Stamp, s.now
+	l.stamp, l.stampReceivedAt = m.Stamp, s.now
 	if m.Leaving {
 		s.roster.MarkLeaving(from.From)
 	}
 	if m.Roster != 0 && !s.roster.ConfirmReport(s.now, from.From, m.Roster) {
-		s.askRoster(from.From)
+		s.requestRoster(from.From)
 	}
-	if s.accepts(from, m.Scope) {
-		s.step(admit.PeerState{From: from.From, Zone: from.Zone, Msg: m, TTL: silentTellings * s.talk.Interval})
+	if s.acceptsScope(from, m.Scope) {
+		s.step(admit.PeerState{From: from.From, Zone: from.Zone, Msg: m, TTL: maxMissedReports * s.peerPlan.Interval})
 	}
 	asOf, theirs := s.catalog.AsOf(), catalog.Revision{Epoch: m.Epoch, Number: m.AsOf}
 	if asOf.Before(theirs) {
-		s.askNews(from.From)
+		s.requestUpdate(from.From)
 		return
 	}
 	if theirs == asOf && m.Age >= 0 && m.Echo > 0 {
-		s.hearVerified(from, m)
+		s.handleVerified(from, m)
 	}
 }
 
 // accepts reports whether flows of a scope are counted here: all flows must be
 // counted, and none twice.
-func (s *state) accepts(from peer.Inbound, scope wire.Scope) bool {
+func (s *state) acceptsScope(from peer.Inbound, scope wire.Scope) bool {
 	switch scope {
 	case wire.ScopeOwn:
-		return s.talk.Mesh || s.talk.Relay
+		return s.peerPlan.Mesh || s.peerPlan.Relay
 	case wire.ScopeZone:
-		return s.talk.Relay && from.From == s.roster.PrimaryRelay(s.now, from.Zone)
+		return s.peerPlan.Relay && from.From == s.roster.PrimaryRelay(s.now, from.Zone)
 	case wire.ScopeRest:
-		return !s.talk.Mesh && !s.talk.Relay && from.From == s.roster.PrimaryRelay(s.now, s.d.id.Zone)
+		return !s.peerPlan.Mesh && !s.peerPlan.Relay && from.From == s.roster.PrimaryRelay(s.now, s.d.id.Zone)
 	default:
 		return true
 	}
@@ -137,10 +137,10 @@
 
 // allNewsFor is for how long all that the platform published is told as it was collected
 // once, while nothing is published.
-const allNewsFor = 200 * time.Millisecond
+const fullUpdateTTL = 200 * time.Millisecond
 
 // allNews is all that the platform published, as collected for somebody who asked.
-type allNews struct {
+type cachedUpdate struct {
 	msg  *wire.News
 	asOf catalog.Revision
 	at   time.Duration
@@ -149,54 +149,54 @@
 // newsFor returns what the platform published after a revision. All of it is collected
 // once for all who ask at a start of the fleet, or of an epoch: what waits to be sent to 100
 // routers would else hold 60 MB at 3,000 backend servers. The message is not changed any more.
-func (s *state) newsFor(ask *wire.NewsAsk) *wire.News {
+func (s *state) updateSince(ask *wire.NewsAsk) *wire.News {
 	asOf := s.catalog.AsOf()
 	if ask.Epoch == asOf.Epoch && s.catalog.HasHistorySince(ask.After) {
 		return &wire.News{Update: s.catalog.Since(ask.After)}
 	}
-	if s.all.msg == nil || s.all.asOf != asOf || s.now-s.all.at >= allNewsFor {
-		s.all = allNews{msg: &wire.News{Update: s.catalog.Since(0)}, asOf: asOf, at: s.now}
+	if s.fullUpdate.msg == nil || s.fullUpdate.asOf != asOf || s.now-s.fullUpdate.at >= fullUpdateTTL {
+		s.fullUpdate = cachedUpdate{msg: &wire.News{Update: s.catalog.Since(0)}, asOf: asOf, at: s.now}
 	}
-	return s.all.msg
+	return s.fullUpdate.msg
 }
 
 // askNews asks another router for what it knows beyond what is known here.
-func (s *state) askNews(from string) {
+func (s *state) requestUpdate(from string) {
 	after := s.catalog.AsOf()
-	every := askNewsEvery
+	every := updateRequestInterval
 	if after.IsZero() {
-		every = askAllEvery
+		every = fullUpdateRequestInterval
 	}
-	if s.now-s.askedNews < every {
+	if s.now-s.updateRequestedAt < every {
 		return
 	}
-	s.askedNews = s.now
+	s.updateRequestedAt = s.now
 	s.d.net.Send(from, &wire.NewsAsk{Epoch: after.Epoch, After: after.Number})
 }
 
 // spread tells others at once what came after a revision: what this router has
 // read itself to all it talks with, and a relay passes on what it was told.
-func (s *state) spread(after uint64, sender string) {
+func (s *state) broadcastUpdate(after uint64, sender string) {
 	if after == 0 {
 		// All at once would be sent to everybody by everybody at a start of the fleet:
 		// whoever lacks it asks for it.
-		s.tellKnown()
+		s.broadcastVerified()
 		return
 	}
-	if sender != "" && !s.talk.Relay {
+	if sender != "" && !s.peerPlan.Relay {
 		return
 	}
 	news := s.catalog.Since(after)
 	if news.Empty() {
 		return
 	}
-	s.sendToAll(&wire.News{Update: news}, sender)
+	s.broadcast(&wire.News{Update: news}, sender)
 }
 
 // sendToAll sends a message, which is not changed any more, to all that this router talks
 // with but one, "" for none.
-func (s *state) sendToAll(msg any, but string) {
-	for _, list := range [][]string{s.talk.Peers, s.talk.Served, s.talk.RemoteRelays} {
+func (s *state) broadcast(msg any, but string) {
+	for _, list := range [][]string{s.peerPlan.Peers, s.peerPlan.Served, s.peerPlan.RemoteRelays} {
 		for _, to := range list {
 			if to != but {
 				s.d.net.Send(to, msg)
@@ -209,7 +209,7 @@
 type lossEvent struct{ peer.Lost }
 
 func (e lossEvent) apply(s *state) {
-	s.link(e.Peer).digest = 0
+	s.link(e.Peer).rosterDigest = 0
 	if f := s.d.opt.forwarder; f != nil {
 		f.EndStreams(e.Peer)
 	}
@@ -218,62 +218,62 @@
 	}
 	s.roster.MarkDown(e.Peer)
 	s.step(admit.PeerGone{From: e.Peer})
-	s.heardOfMembers()
+	s.scheduleMembersUpdate()
 }
 
 // tellOthers tells other routers what is due to be told.
-func (s *state) tellOthers() {
-	if s.now-s.toldAt < s.talk.Interval {
+func (s *state) sendReports() {
+	if s.now-s.reportedAt < s.peerPlan.Interval {
 		return
 	}
-	s.toldAt = s.now
-	s.membersChanged()
+	s.reportedAt = s.now
+	s.updateMembers()
 	t := s.core.Snapshot(s.now)
-	for _, to := range s.talk.Peers {
-		s.tell(to, t, wire.ScopeOwn, t.Copies())
+	for _, to := range s.peerPlan.Peers {
+		s.sendReport(to, t, wire.ScopeOwn, t.Copies())
 	}
 	// Both relays of a zone hear all that its routers tell, so one passes it on.
 	served, servedCopies := wire.ScopeNone, t.Copies()
 	others, zoneCopies := wire.ScopeNone, t.Copies()
-	if s.talk.Primary {
+	if s.peerPlan.Primary {
 		served, servedCopies = wire.ScopeRest, t.AllCopies()
 		others, zoneCopies = wire.ScopeZone, t.ZoneCopies()
 	}
-	for _, to := range s.talk.Served {
-		s.tell(to, t, served, servedCopies)
+	for _, to := range s.peerPlan.Served {
+		s.sendReport(to, t, served, servedCopies)
 	}
-	for _, to := range s.talk.RemoteRelays {
-		s.tell(to, t, others, zoneCopies)
+	for _, to := range s.peerPlan.RemoteRelays {
+		s.sendReport(to, t, others, zoneCopies)
 	}
-	for _, to := range s.roster.NextProbes(s.now, s.talk) {
-		s.try(to)
+	for _, to := range s.roster.NextProbes(s.now, s.peerPlan) {
+		s.probe(to)
 	}
 	s.roster.Forget(s.now)
 	s.gossip()
 }
 
-// tell sends one router what it is to know.
-func (s *state) tell(to string, t *admit.Snapshot, scope wire.Scope, copies []wire.Copy) {
-	m := s.stateFor(to)
+// sendReport sends one router what it is to know.
+func (s *state) sendReport(to string, t *admit.Snapshot, scope wire.Scope, copies []wire.Copy) {
+	m := s.stateMessage(to)
 	m.Scope, m.Copies = scope, copies
 	if !s.d.opt.weighted {
 		m.Accounts = t.Flows(scope, to)
 	}
-	if s.talk.Relay {
-		m.Roster = s.digest
-		s.tellRosterChanges(to, s.link(to))
+	if s.peerPlan.Relay {
+		m.Roster = s.rosterDigest
+		s.sendRosterChanges(to, s.link(to))
 	}
 	s.d.net.Send(to, m)
-	s.tellUses(to, t, scope)
+	s.sendUsage(to, t, scope)
 }
 
 // gossip tells one router in turn whom this one knows, where there are no relays
 // to do so.
 func (s *state) gossip() {
-	all := s.talk.Peers
-	if !s.talk.Mesh || s.now-s.gossiped < gossipEvery || len(all) == 0 {
+	all := s.peerPlan.Peers
+	if !s.peerPlan.Mesh || s.now-s.gossipedAt < gossipInterval || len(all) == 0 {
 		return
 	}
-	s.gossiped = s.now
-	s.tellRoster(all[int(s.now/gossipEvery)%len(all)], false)
+	s.gossipedAt = s.now
+	s.sendFullRoster(all[int(s.now/gossipInterval)%len(all)], false)
 }
--- a/internal/dispatch/rosters_test.go
+++ b/internal/dispatch/rosters_test.go
@@ -51,9 +51,9 @@
 	}
 	tell := func() *wire.Roster {
 		t.Helper()
-		s.noteRoster()
+		s.updateRosterVersion()
 		n.take()
-		s.tellRosterChanges(to, s.link(to))
+		s.sendRosterChanges(to, s.link(to))
 		switch msgs := n.take(); len(msgs) {
 		case 0:
 			return nil
--- a/internal/dispatch/screen.go
+++ b/internal/dispatch/screen.go
@@ -15,7 +15,7 @@
 
 // screenEvery is the interval at which it is worked out which accounts ask for much
 // more than they can get.
-const screenEvery = 50 * time.Millisecond
+const admissionInterval = 50 * time.Millisecond
 
 var errOverShare = verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "over-share",
 	"the client account asks for much more than its share; come back as told")
@@ -27,38 +27,38 @@
 // get, in the callers' own tasks: a flood must not cost the decisions of
 // others their time.
 type admission struct {
-	// parts is which part of an account's requests is tried.
-	parts atomic.Pointer[map[wire.Key]float64]
-	mu    sync.Mutex
+	// fractions is which part of an account's requests is tried.
+	fractions atomic.Pointer[map[wire.Key]float64]
+	mu        sync.Mutex
 	// plan is what this router has time for, left how many requests more of any
 	// account are let in by it.
-	plan admit.AdmissionPlan
-	left int
+	plan   admit.AdmissionPlan
+	budget int
 	// forwards is how many more are handed on.
-	forwards float64
+	forwardBudget float64
 	// tallies are by account since plan was made, at planned.
-	tallies map[wire.Key]*tally
-	planned time.Duration
-	// count counts the refused requests since the start.
-	count atomic.Int64
+	counters  map[wire.Key]*accountCounter
+	plannedAt time.Duration
+	// refused counts the refused requests since the start.
+	refused atomic.Int64
 }
 
 // tally counts an account's requests since the last plan.
-type tally struct {
+type accountCounter struct {
 	// wanted are to be worked on as far as the account's share goes, refused were
 	// refused for any reason.
-	wanted, refused int
+	withinShare, refused int
 	// tokens is what refused requests asked for.
 	tokens float64
 	// forwarded were handed on to another router, where they are counted.
 	forwarded int
-	// left is how many more are let in; of what is left at the next plan, up to one is
+	// budget is how many more are let in; of what is budget at the next plan, up to one is
 	// kept.
-	left float64
+	budget float64
 }
 
 func newAdmission() admission {
-	return admission{plan: admit.AdmissionPlan{PerAccount: math.Inf(1)}, left: math.MaxInt, tallies: map[wire.Key]*tally{}}
+	return admission{plan: admit.AdmissionPlan{PerAccount: math.Inf(1)}, budget: math.MaxInt, counters: map[wire.Key]*accountCounter{}}
 }
 
 // CheckAdmission implements front.Scheduler.
@@ -67,8 +67,8 @@
 		return nil
 	}
 	key := wire.KeyOf(r.Account)
-	within := r.Forwarded || d.opt.random() < partOf(&d.admission.parts, key)
-	if d.admission.letIn(key, r, within) {
+	within := r.Forwarded || d.opt.random() < fractionOf(&d.admission.fractions, key)
+	if d.admission.tryAdmit(key, r, within) {
 		return nil
 	}
 	// Balancers send a caller to the same router again: one that comes back soon is
@@ -81,7 +81,7 @@
 }
 
 // partOf returns the part of an account's requests that is worked on.
-func partOf(parts *atomic.Pointer[map[wire.Key]float64], key wire.Key) float64 {
+func fractionOf(parts *atomic.Pointer[map[wire.Key]float64], key wire.Key) float64 {
 	m := parts.Load()
 	if m == nil {
 		return 1
@@ -96,25 +96,25 @@
 // it is worked on. What is beyond the share takes nothing of what this router has time
 // for, so that the lesser of both counts and not their product: else an account whose
 // callers come to few small routers gets a fraction of its share.
-func (sc *admission) letIn(key wire.Key, r front.Request, within bool) bool {
+func (sc *admission) tryAdmit(key wire.Key, r front.Request, within bool) bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	t, ok := sc.tallies[key]
+	t, ok := sc.counters[key]
 	if !ok {
-		t = &tally{left: 1 + sc.plan.PerAccount*screenEvery.Seconds()}
-		sc.tallies[key] = t
+		t = &accountCounter{budget: 1 + sc.plan.PerAccount*admissionInterval.Seconds()}
+		sc.counters[key] = t
 	}
 	if within {
-		t.wanted++
-		if sc.left > 0 && t.left >= 1 {
-			sc.left--
-			t.left--
+		t.withinShare++
+		if sc.budget > 0 && t.budget >= 1 {
+			sc.budget--
+			t.budget--
 			return true
 		}
 	}
 	t.refused++
 	t.tokens += admit.Cost(r.Prompt, r.Output)
-	sc.count.Add(1)
+	sc.refused.Add(1)
 	return false
 }
 
@@ -124,72 +124,72 @@
 	sc := &d.admission
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	t, ok := sc.tallies[wire.KeyOf(r.Account)]
-	if !ok || sc.forwards < 1 {
+	t, ok := sc.counters[wire.KeyOf(r.Account)]
+	if !ok || sc.forwardBudget < 1 {
 		return false
 	}
-	sc.forwards--
+	sc.forwardBudget--
 	t.forwarded++
 	t.refused--
 	t.tokens -= admit.Cost(r.Prompt, r.Output)
-	sc.count.Add(-1)
+	sc.refused.Add(-1)
 	return true
 }
 
 // longestPlan is the longest time for which a plan lets requests in: one that is made
 // later than that is not made up for.
-const longestPlan = 150 * time.Millisecond
+const maxPlanAge = 150 * time.Millisecond
 
 // screenIfDue counts what was refused and works out anew what is to be.
-func (s *state) screenIfDue() {
-	if s.now-s.screened < screenEvery {
+func (s *state) updateAdmission() {
+	if s.now-s.admissionAt < admissionInterval {
 		return
 	}
-	s.screened = s.now
-	for key, t := range s.planWork() {
+	s.admissionAt = s.now
+	for key, t := range s.replan() {
 		if t.refused > 0 {
 			s.core.CountRefused(s.now, key, t.tokens)
 		}
 	}
-	store(&s.d.admission.parts, s.core.AdmitFractions(s.now))
+	storeFractions(&s.d.admission.fractions, s.core.AdmitFractions(s.now))
 	s.logShares()
 }
 
 // planWork makes a plan of what this router has time for until the next one, and returns
 // what was counted since the last.
-func (s *state) planWork() map[wire.Key]*tally {
+func (s *state) replan() map[wire.Key]*accountCounter {
 	sc := &s.d.admission
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	counted, in := sc.tallies, s.now-sc.planned
+	counted, in := sc.counters, s.now-sc.plannedAt
 	came, refused := make(map[wire.Key]int, len(counted)), 0
 	for key, t := range counted {
-		came[key] = t.wanted
+		came[key] = t.withinShare
 		refused += t.refused
 	}
-	sc.plan = s.pace.Plan(in, came, refused, s.neighbours > 0)
-	sc.planned, sc.left = s.now, sc.plan.Burst
-	sc.forwards = min(sc.forwards, 1) + sc.plan.Forward*min(in, longestPlan).Seconds()
-	sc.tallies = make(map[wire.Key]*tally, len(counted))
+	sc.plan = s.estimator.Plan(in, came, refused, s.forwardPeers > 0)
+	sc.plannedAt, sc.budget = s.now, sc.plan.Burst
+	sc.forwardBudget = min(sc.forwardBudget, 1) + sc.plan.Forward*min(in, maxPlanAge).Seconds()
+	sc.counters = make(map[wire.Key]*accountCounter, len(counted))
 	for key, t := range counted {
-		if t.wanted > 0 || t.left < 1 {
-			sc.tallies[key] = &tally{left: min(t.left, 1) + sc.plan.PerAccount*min(in, longestPlan).Seconds()}
+		if t.withinShare > 0 || t.budget < 1 {
+			sc.counters[key] = &accountCounter{budget: min(t.budget, 1) + sc.plan.PerAccount*min(in, maxPlanAge).Seconds()}
 		}
 	}
-	s.d.shared.shedding.Store(float64(refused) >= refusingFrom*in.Seconds())
-	s.notePace()
+	s.d.shared.shedding.Store(float64(refused) >= sheddingThreshold*in.Seconds())
+	s.publishLoadStats()
 	return counted
 }
 
 // sharesEvery is the interval at which the shares are logged while accounts
 // ask for more than theirs.
-const sharesEvery = time.Second
+const sharesLogInterval = time.Second
 
 func (s *state) logShares() {
-	if s.now-s.sharesAt < sharesEvery {
+	if s.now-s.sharesLoggedAt < sharesLogInterval {
 		return
 	}
-	s.sharesAt = s.now
+	s.sharesLoggedAt = s.now
 	if sh := s.core.Shares(s.now); sh.Throttled > 0 {
 		s.d.opt.log.Info("shares", "asked", int64(sh.Demand), "begun", int64(sh.Started), "level", int64(sh.FairShare),
 			"screened", sh.Throttled, "least_part", sh.MinFraction, "least_served", sh.LeastServedFraction, "least_account", s.accountName(sh.LeastServedAccount))
@@ -210,7 +210,7 @@
 	return ""
 }
 
-func store(parts *atomic.Pointer[map[wire.Key]float64], m map[wire.Key]float64) {
+func storeFractions(parts *atomic.Pointer[map[wire.Key]float64], m map[wire.Key]float64) {
 	if len(m) == 0 {
 		parts.Store(nil)
 		return
--- a/internal/dispatch/screen_test.go
+++ b/internal/dispatch/screen_test.go
@@ -33,8 +33,8 @@
 		t.Run(name, func(t *testing.T) {
 			d := &Dispatcher{opt: options{clock: clock.System(), random: rand.New(rand.NewPCG(1, 1)).Float64}, admission: newAdmission()}
 			key := wire.KeyOf("moka")
-			store(&d.admission.parts, map[wire.Key]float64{key: tc.share})
-			d.admission.tallies[key] = &tally{left: tc.inTime * asks}
+			storeFractions(&d.admission.fractions, map[wire.Key]float64{key: tc.share})
+			d.admission.counters[key] = &accountCounter{budget: tc.inTime * asks}
 			in, codes := 0, map[string]int{}
 			for range asks {
 				err := d.CheckAdmission(front.Request{Account: "moka", Prompt: 10})
@@ -67,7 +67,7 @@
 func TestScreenBoundsABurst(t *testing.T) {
 	const most = 40
 	d := &Dispatcher{opt: options{clock: clock.System(), random: rand.Float64}, admission: newAdmission()}
-	d.admission.left = most
+	d.admission.budget = most
 	in := 0
 	for range 1000 {
 		if d.CheckAdmission(front.Request{Account: "moka", Prompt: 10}) == nil {
@@ -82,11 +82,11 @@
 // TestMayForward has a router hand on what it has no time for, as far as its plan goes: a
 // request that is handed on is counted by the router that takes it, not here.
 func TestMayForward(t *testing.T) {
-	const asks, let, forwards = 100, 10, 30
+	const asks, let, forwardBudget = 100, 10, 30
 	d := &Dispatcher{opt: options{clock: clock.System(), random: rand.Float64}, admission: newAdmission()}
 	key := wire.KeyOf("moka")
-	d.admission.tallies[key] = &tally{left: let}
-	d.admission.forwards = forwards
+	d.admission.counters[key] = &accountCounter{budget: let}
+	d.admission.forwardBudget = forwardBudget
 	handed := 0
 	for range asks {
 		r := front.Request{Account: "moka", Prompt: 10}
@@ -94,12 +94,12 @@
 			handed++
 		}
 	}
-	got := d.admission.tallies[key]
-	if handed != forwards || got.forwarded != forwards || got.refused != asks-let-forwards || got.tokens != 10*(asks-let-forwards) {
+	got := d.admission.counters[key]
+	if handed != forwardBudget || got.forwarded != forwardBudget || got.refused != asks-let-forwardBudget || got.tokens != 10*(asks-let-forwardBudget) {
 		t.Errorf("%d handed on, counted %+v", handed, *got)
 	}
-	if d.admission.count.Load() != asks-let-forwards {
-		t.Errorf("%d counted as refused", d.admission.count.Load())
+	if d.admission.refused.Load() != asks-let-forwardBudget {
+		t.Errorf("%d counted as refused", d.admission.refused.Load())
 	}
 	if d.MayForward(front.Request{Account: "nobody"}) {
 		t.Error("a request that was not screened is handed on")
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -43,9 +43,9 @@
 	// number of requests tracked.
 	Suspects     []Suspect `json:"suspects,omitempty"`
 	SuspectCount int       `json:"suspect_count"`
-	// TerminationsCleared counts the backend terminations that are no longer tracked, by
+	// CrashesCleared counts the backend terminations that are no longer tracked, by
 	// reason.
-	TerminationsCleared map[suspect.Reason]int64 `json:"ends_cleared,omitempty"`
+	CrashesCleared map[suspect.Reason]int64 `json:"ends_cleared,omitempty"`
 	// ClosedZones are the availability zones that operators have closed, Warming how
 	// many backend servers warm up.
 	ClosedZones []string `json:"closed_zones"`
@@ -66,27 +66,27 @@
 }
 
 // counter is a Source that counts its calls.
-type counter interface{ Calls() int64 }
+type callCounter interface{ Calls() int64 }
 
 func (s *state) publish() {
-	if s.now-s.status < statusEvery {
+	if s.now-s.statusAt < statusEvery {
 		return
 	}
-	s.status = s.now
+	s.statusAt = s.now
 	s.logTrust()
 	st := &Status{
 		Name: s.d.id.Name, Zone: s.d.id.Zone, Incarnation: s.d.id.Incarnation, Epoch: s.catalog.AsOf().Epoch, AsOf: s.catalog.AsOf().Number, ReaderRank: s.d.shared.readerRank.Load(),
 		VerifiedMillisAgo: (s.now - time.Duration(s.d.shared.lastVerified.Load())).Milliseconds(),
-		Live:              s.roster.Live(s.now), Relay: s.talk.Relay, Owned: s.core.Owned(), Waiting: s.core.Waiting(),
-		ClosedZones: s.closed, Warming: s.core.Warming(), SuspendedMillis: s.suspended.Milliseconds(),
+		Live:              s.roster.Live(s.now), Relay: s.peerPlan.Relay, Owned: s.core.Owned(), Waiting: s.core.Waiting(),
+		ClosedZones: s.closedZones, Warming: s.core.Warming(), SuspendedMillis: s.suspended.Milliseconds(),
 	}
 	st.Unusable, st.UnusableCount = s.unusableEntries()
 	st.UnusableTotal = s.catalog.UnusableTotals()
 	st.Untrusted = slices.Sorted(maps.Keys(s.untrusted))
-	s.publishWords(st)
+	s.setBackendNotices(st)
 	st.Suspects, st.SuspectCount = s.suspects()
-	st.TerminationsCleared = maps.Clone(s.cleared)
-	if c, ok := s.d.source.(counter); ok {
+	st.CrashesCleared = maps.Clone(s.clearedCrashes)
+	if c, ok := s.d.source.(callCounter); ok {
 		st.Calls = c.Calls()
 	}
 	if v := s.catalog.View(); v != nil {
@@ -96,7 +96,7 @@
 }
 
 // publishWords tells which backend servers leave or rest by their own word.
-func (s *state) publishWords(st *Status) {
+func (s *state) setBackendNotices(st *Status) {
 	leaving, resting := s.core.Notices()
 	st.Leaving, st.BackingOff = leaving, make(map[string]int64, len(resting))
 	for name, left := range resting {
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -11,27 +11,27 @@
 const (
 	// allSuspectsEvery is the interval at which one other router in turn is told of all
 	// suspects, so that a message which was lost does no lasting harm.
-	allSuspectsEvery = 2 * time.Second
+	suspectSyncInterval = 2 * time.Second
 	// suspectsShown bounds the ends that the status lists.
-	suspectsShown = 32
+	maxStatusSuspects = 32
 )
 
 // tellSuspects tells other routers which requests were at ends of backend servers: what
 // this router saw itself to all it talks with, and a relay passes on what it was told.
-func (s *state) tellSuspects() {
+func (s *state) sendSuspectUpdates() {
 	count := s.core.SuspectCount()
-	for _, m := range s.core.TakeSuspectUpdates(s.now, s.talk.Relay) {
-		s.sendToAll(m, "")
+	for _, m := range s.core.TakeSuspectUpdates(s.now, s.peerPlan.Relay) {
+		s.broadcast(m, "")
 	}
-	if all := s.talk.Peers; count > 0 && len(all) > 0 && s.now-s.suspectsAt >= allSuspectsEvery {
-		s.suspectsAt = s.now
-		s.suspectsTo++
-		s.tellAllSuspects(all[s.suspectsTo%len(all)])
+	if all := s.peerPlan.Peers; count > 0 && len(all) > 0 && s.now-s.suspectsSentAt >= suspectSyncInterval {
+		s.suspectsSentAt = s.now
+		s.suspectsSent++
+		s.sendAllSuspects(all[s.suspectsSent%len(all)])
 	}
 }
 
 // tellAllSuspects tells a router of all suspects, as far as one message holds them.
-func (s *state) tellAllSuspects(to string) {
+func (s *state) sendAllSuspects(to string) {
 	if m := s.core.WorstSuspects(s.now); m != nil {
 		s.d.net.Send(to, m)
 	}
@@ -40,49 +40,49 @@
 // logSuspected logs that a backend server ended while a request was under way there.
 // What another router tells is logged from the second end on: the first are those of all
 // that was under way there.
-func (s *state) logSuspected(a admit.SuspectAdded) {
+func (s *state) logCrash(a admit.SuspectAdded) {
 	if a.From != "" && a.Crashes < 2 {
 		return
 	}
-	s.d.opt.log.Info("request_at_end", "request", s.ending, "digest", digestText(a.Digest), "backend", a.Backend, "ends", a.Crashes, "from", a.From)
+	s.d.opt.log.Info("request_at_end", "request", s.endingRequest, "digest", formatDigest(a.Digest), "backend", a.Backend, "ends", a.Crashes, "from", a.From)
 }
 
 // noteCleared counts ends of a request that are not remembered any more, and logs them
 // where there were several: one is what each request has that was there at an end.
-func (s *state) noteCleared(a admit.SuspectCleared) {
-	s.cleared[a.Reason] += int64(a.Crashes)
+func (s *state) recordCleared(a admit.SuspectCleared) {
+	s.clearedCrashes[a.Reason] += int64(a.Crashes)
 	if a.Crashes > 1 {
-		s.d.opt.log.Info("request_cleared", "digest", digestText(a.Digest), "ends", a.Crashes, "reason", string(a.Reason))
+		s.d.opt.log.Info("request_cleared", "digest", formatDigest(a.Digest), "ends", a.Crashes, "reason", string(a.Reason))
 	}
 }
 
 // logHeldBack logs that a request gets no backend server since servers ended under it.
-func (s *state) logHeldBack(a admit.Refuse) {
+func (s *state) logBlocked(a admit.Refuse) {
 	if w, ok := s.waiting[a.ID]; ok && a.Crashes > 0 {
-		s.d.opt.log.Warn("request_held_back", "request", w.request.ID, "digest", digestText(w.digest), "ends", a.Crashes, "code", a.Err.Code,
+		s.d.opt.log.Warn("request_held_back", "request", w.request.ID, "digest", formatDigest(w.digest), "ends", a.Crashes, "code", a.Err.Code,
 			"retry_after_ms", a.Err.RetryAfter.Milliseconds())
 	}
 }
 
-func digestText(d suspect.Digest) string { return fmt.Sprintf("%016x", uint64(d)) }
+func formatDigest(d suspect.Digest) string { return fmt.Sprintf("%016x", uint64(d)) }
 
 // Suspect is a request that was running on backend servers when they terminated.
 type Suspect struct {
 	// Digest identifies the request, Terminations is the number of backend servers that
 	// terminated, LastMillisAgo the age of the last termination.
 	Digest        string `json:"digest"`
-	Terminations  int    `json:"ends"`
+	Crashes       int    `json:"ends"`
 	LastMillisAgo int64  `json:"last_ms_ago"`
 }
 
 // suspects lists the worst requests, and counts all that are remembered.
 func (s *state) suspects() (list []Suspect, count int) {
-	for _, e := range s.core.Suspects(suspectsShown) {
-		if n := len(list); n == 0 || list[n-1].Digest != digestText(e.Digest) {
-			list = append(list, Suspect{Digest: digestText(e.Digest)})
+	for _, e := range s.core.Suspects(maxStatusSuspects) {
+		if n := len(list); n == 0 || list[n-1].Digest != formatDigest(e.Digest) {
+			list = append(list, Suspect{Digest: formatDigest(e.Digest)})
 		}
 		last := &list[len(list)-1]
-		last.Terminations++
+		last.Crashes++
 		last.LastMillisAgo = (s.now - e.At).Milliseconds()
 	}
 	return list, s.core.SuspectCount()
--- a/internal/dispatch/suspects_test.go
+++ b/internal/dispatch/suspects_test.go
@@ -42,7 +42,7 @@
 func (oneWire) SetIncarnation(uint64)        {}
 func (w oneWire) Inbox() <-chan peer.Inbound { return w.in }
 func (oneWire) Losses() <-chan peer.Lost     { return nil }
-func (w oneWire) hear(from string, msg any) {
+func (w oneWire) handleState(from string, msg any) {
 	w.in <- peer.Inbound{From: from, Name: from, Zone: "b", Inc: 1, Msg: msg}
 }
 
@@ -90,7 +90,7 @@
 	for i := range 3 {
 		ends = append(ends, wire.SuspectEnd{Digest: digest, Server: wire.Key(100 + i), AgoMillis: int64(1000 * i)})
 	}
-	net.hear("r-1", &wire.Suspects{Ends: ends})
+	net.handleState("r-1", &wire.Suspects{Ends: ends})
 	d.Release(first, front.Usage{Sent: true, Status: 200})
 	select {
 	case err := <-waited:
--- a/internal/dispatch/unusable.go
+++ b/internal/dispatch/unusable.go
@@ -13,44 +13,44 @@
 // A program that writes entries which cannot be used may do so a hundred times a second:
 // of these, unusableLines are logged in unusableEvery.
 const (
-	unusableLines = 10
-	unusableEvery = time.Second
+	unusableLogLimit    = 10
+	unusableLogInterval = time.Second
 )
 
 // unusableLog bounds the lines on what was published and cannot be used.
-type unusableLog struct {
-	since time.Duration
-	lines int
+type logLimiter struct {
+	windowStart time.Duration
+	lines       int
 }
 
-// may reports whether a line may be written now.
-func (l *unusableLog) may(now time.Duration) bool {
-	if now-l.since >= unusableEvery {
-		l.since, l.lines = now, 0
+// allow reports whether a line allow be written now.
+func (l *logLimiter) allow(now time.Duration) bool {
+	if now-l.windowStart >= unusableLogInterval {
+		l.windowStart, l.lines = now, 0
 	}
 	l.lines++
-	return l.lines <= unusableLines
+	return l.lines <= unusableLogLimit
 }
 
 // logUnusable logs what news held that cannot be used, and why.
 func (s *state) logUnusable(n *catalog.Update, from string) {
 	for _, x := range n.Skipped {
-		if x.Key == "" || !s.unusable.may(s.now) {
+		if x.Key == "" || !s.unusable.allow(s.now) {
 			continue
 		}
 		s.d.opt.log.Warn("published_unusable", "key", x.Key, "revision", x.Revision, "reason", string(x.Unusable.Reason), "field", x.Unusable.Field)
 	}
 	for _, e := range s.catalog.DrainUnusable() {
-		if s.unusable.may(s.now) {
+		if s.unusable.allow(s.now) {
 			s.d.opt.log.Warn("entry_unusable", "backend", e.Backend.Name, "revision", e.Revision,
 				"reason", string(e.Unusable.Reason), "field", e.Unusable.Field, "from", from)
 		}
 	}
-	s.noteLack(n)
+	s.recordNoTableReason(n)
 }
 
 // noteLack keeps why a router that has no table yet has none.
-func (s *state) noteLack(n *catalog.Update) {
+func (s *state) recordNoTableReason(n *catalog.Update) {
 	if s.catalog.View() != nil {
 		s.d.shared.noTableReason.Store(nil)
 		return
@@ -81,7 +81,7 @@
 
 // isOwn reports whether an address is one of this router's, or, by its port, one where
 // another router listens for callers or peers: a request sent there would go round.
-func (s *state) isOwn(address string) bool {
+func (s *state) isRouterAddress(address string) bool {
 	if slices.Contains(s.d.id.ListenAddresses, address) {
 		return true
 	}
@@ -98,13 +98,13 @@
 
 // routerHosts returns the hosts of the routers that live.
 func (s *state) routerHosts() map[string]bool {
-	if s.hosts == nil {
-		s.hosts = map[string]bool{}
+	if s.routerHostSet == nil {
+		s.routerHostSet = map[string]bool{}
 		for _, address := range s.roster.Live(s.now) {
 			if host, _, err := net.SplitHostPort(address); err == nil {
-				s.hosts[host] = true
+				s.routerHostSet[host] = true
 			}
 		}
 	}
-	return s.hosts
+	return s.routerHostSet
 }
--- a/internal/dispatch/unusable_test.go
+++ b/internal/dispatch/unusable_test.go
@@ -28,7 +28,7 @@
 		updateEvent{Update: catalog.Update{After: uint64(2 + i), AsOf: uint64(3 + i), Servers: []catalog.Server{bad}}}.apply(s)
 	}
 	lines := strings.Count(log.String(), "msg=entry_unusable")
-	if lines < seconds || lines > unusableLines*(seconds+1) {
+	if lines < seconds || lines > unusableLogLimit*(seconds+1) {
 		t.Errorf("%d lines", lines)
 	}
 	if !strings.Contains(log.String(), "backend=bad revision=3 reason=wrong-type field=slots") {
@@ -60,7 +60,7 @@
 			d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Incarnation: 1, ListenAddresses: []string{"10.0.0.1:8000", "10.0.0.1:7"}}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.DiscardHandler)))
 			s := newState(d)
 			s.roster.Observe(s.now, roster.Member{Address: "10.0.0.2:7", Name: "q", Zone: "a", Inc: 1})
-			if got := s.isOwn(tc.address); got != tc.want {
+			if got := s.isRouterAddress(tc.address); got != tc.want {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
 		})
--- a/internal/dispatch/uses.go
+++ b/internal/dispatch/uses.go
@@ -18,31 +18,31 @@
 }
 
 // tellUses tells a router what accounts have used, for a scope.
-func (s *state) tellUses(to string, t *admit.Snapshot, scope wire.Scope) {
+func (s *state) sendUsage(to string, t *admit.Snapshot, scope wire.Scope) {
 	if s.d.opt.weighted && scope != wire.ScopeNone {
 		s.d.net.Send(to, &wire.Uses{Scope: scope, Accounts: t.Uses(scope, to)})
 	}
 }
 
 // hearUses takes in what another router tells of what accounts have used.
-func (s *state) hearUses(from peer.Inbound, m *wire.Uses) {
-	if s.accepts(from, m.Scope) {
+func (s *state) handleUsage(from peer.Inbound, m *wire.Uses) {
+	if s.acceptsScope(from, m.Scope) {
 		s.step(admit.PeerUsage{From: from.From, Zone: from.Zone, Msg: m})
 	}
 }
 
 // noteProgress counts what requests that run have used so far.
-func (s *state) noteProgress() {
-	for id, served := range s.served {
+func (s *state) reportProgress() {
+	for id, served := range s.tokenCounts {
 		s.step(admit.Progress{ID: id, Tokens: served.Load()})
 	}
 }
 
 // countFor returns what counts the tokens of a request that starts.
-func (s *state) countFor(id uint64) *atomic.Int64 {
+func (s *state) newTokenCounter(id uint64) *atomic.Int64 {
 	served := &atomic.Int64{}
 	if s.d.opt.weighted {
-		s.served[id] = served
+		s.tokenCounts[id] = served
 	}
 	return served
 }
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -246,8 +246,8 @@
 func (r *simRouter) step(ev event) {
 	s := r.state
 	s.now = clockStart + r.w.now - r.startedAt
-	if r.w.now-r.lastAt >= pausedAfter {
-		s.stoodStill(clockStart + r.lastAt - r.startedAt)
+	if r.w.now-r.lastAt >= pauseThreshold {
+		s.recordPause(clockStart + r.lastAt - r.startedAt)
 	}
 	r.lastAt = r.w.now
 	before := r.tableRevision()
@@ -435,7 +435,7 @@
 
 // feedLoads has the owners read the loads of their backend servers.
 func (w *world) feedLoads() {
-	if (w.now-simStart)%loadEvery != 0 {
+	if (w.now-simStart)%loadInterval != 0 {
 		return
 	}
 	for _, n := range w.names {
@@ -557,7 +557,7 @@
 		return
 	}
 	left := int64((a.ends - w.now) / tokenEvery)
-	if n, ok := r.served[a.grant]; ok {
+	if n, ok := r.tokenCounts[a.grant]; ok {
 		n.Store(max(0, a.tokens-max(0, left)))
 	}
 	if w.now < a.ends {
--- a/internal/dispatch/zones.go
+++ b/internal/dispatch/zones.go
@@ -9,27 +9,27 @@
 
 // noteZones logs which availability zones operators have closed and opened since the
 // last table, and marks of zones in which no backend server is listed.
-func (s *state) noteZones(v *table.Table, from string) {
+func (s *state) logZoneChanges(v *table.Table, from string) {
 	closed := v.ClosedZones()
 	for _, zone := range closed {
-		if slices.Contains(s.closed, zone) {
+		if slices.Contains(s.closedZones, zone) {
 			continue
 		}
-		level, backends := slog.LevelInfo, backendsIn(v, zone)
+		level, backends := slog.LevelInfo, countBackends(v, zone)
 		if backends == 0 {
 			level = slog.LevelWarn
 		}
 		s.d.opt.log.Log(s.d.ctx, level, "zone_closed", "zone", zone, "backends", backends, "as_of", s.catalog.AsOf().Number, "from", from)
 	}
-	for _, zone := range s.closed {
+	for _, zone := range s.closedZones {
 		if !slices.Contains(closed, zone) {
-			s.d.opt.log.Info("zone_opened", "zone", zone, "backends", backendsIn(v, zone), "as_of", s.catalog.AsOf().Number, "from", from)
+			s.d.opt.log.Info("zone_opened", "zone", zone, "backends", countBackends(v, zone), "as_of", s.catalog.AsOf().Number, "from", from)
 		}
 	}
-	s.closed = closed
+	s.closedZones = closed
 }
 
-func backendsIn(v *table.Table, zone string) int {
+func countBackends(v *table.Table, zone string) int {
 	n := 0
 	for i := range v.Backends {
 		if v.Backends[i].Zone == zone {
