--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -13,28 +13,26 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// errDraining is a refusal that has not run.
 var errDraining = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "draining",
 	"this entry instance is stopping; send the request again")
 
 var errStopping = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "stopping", "this entry instance is stopping; send the request again")
 
-// decision is what became of an attempt.
+// decision is the outcome of an attempt.
 type decision struct {
-	id     uint64
-	start  admit.Start
-	err    *verdict.Error
-	waited time.Duration
-	// decidedAt is when it was taken.
+	id        uint64
+	start     admit.Start
+	err       *verdict.Error
+	waited    time.Duration
 	decidedAt time.Duration
-	// tokens counts its tokens, where it was started.
+	// tokens counts the tokens of a started request.
 	tokens *atomic.Int64
 }
 
-// attempt is a request that a caller's task waits for.
+// attempt is a request that waits for a decision.
 type attempt struct {
 	request front.Request
-	// digest identifies the request, 0 if nobody can.
+	// digest identifies the request across attempts, 0 if unknown.
 	digest    suspect.Digest
 	arrivedAt time.Time
 	result    chan decision
@@ -43,7 +41,8 @@
 // Acquire implements front.Scheduler.
 func (d *Dispatcher) Acquire(ctx context.Context, r front.Request) (front.Grant, error) {
 	a := &attempt{request: r, arrivedAt: d.opt.clock.Now(), result: make(chan decision, 1)}
-	// Always: a backend server may end under another try while this one waits.
+	// The digest is needed even for first attempts: a backend server may crash under
+	// another attempt of the same request while this one waits.
 	if r.Digest != nil {
 		a.digest = suspect.Digest(r.Digest())
 	}
@@ -51,8 +50,8 @@
 		return front.Grant{}, errStopping
 	}
 	select {
-	case got := <-a.result:
-		return d.grant(r, got)
+	case dec := <-a.result:
+		return d.grant(r, dec)
 	case <-ctx.Done():
 		d.post(cancelEvent{a})
 		return front.Grant{}, ctx.Err()
@@ -61,24 +60,24 @@
 	}
 }
 
-func (d *Dispatcher) grant(r front.Request, got decision) (front.Grant, error) {
-	if got.err != nil {
-		return front.Grant{}, got.err
+func (d *Dispatcher) grant(r front.Request, dec decision) (front.Grant, error) {
+	if dec.err != nil {
+		return front.Grant{}, dec.err
 	}
 	return front.Grant{
-		ID: got.id, Backend: got.start.Backend.Name, Address: got.start.Backend.Address, StartTime: got.start.Backend.Born, Reason: got.start.Reason,
-		CopyPrefixFrom: got.start.FetchFrom, MaxConnections: d.connectionShare(r.Model),
-		TokensAhead: got.start.TokensAhead, ExpectedFirstEvent: got.start.ExpectedDelay, Running: got.start.Running,
-		Served: got.tokens, Waited: r.Waited + got.waited,
-		OnFirstEvent: func() { d.post(firstOutputEvent{got.id}) },
-		OnNotice:     func(w backend.Notice) { d.post(noticeEvent{got.id, w}) },
+		ID: dec.id, Backend: dec.start.Backend.Name, Address: dec.start.Backend.Address, StartTime: dec.start.Backend.Born, Reason: dec.start.Reason,
+		CopyPrefixFrom: dec.start.FetchFrom, MaxConnections: d.connectionShare(r.Model),
+		TokensAhead: dec.start.TokensAhead, ExpectedFirstEvent: dec.start.ExpectedDelay, Running: dec.start.Running,
+		Served: dec.tokens, Waited: r.Waited + dec.waited,
+		OnFirstEvent: func() { d.post(firstOutputEvent{dec.id}) },
+		OnNotice:     func(w backend.Notice) { d.post(noticeEvent{dec.id, w}) },
 		Saturated:    d.Saturated,
-		// A router that stood still for longer has lost its place to another.
-		MayStart: func() bool { return d.now()-got.decidedAt < d.startTimeout() },
+		// After a longer pause the owner may have granted the slot to another request.
+		MayStart: func() bool { return d.now()-dec.decidedAt < d.startTimeout() },
 	}, nil
 }
 
-// startTimeout is how long a place may be used after it was given.
+// startTimeout returns how long after its decision a request may still be sent.
 func (d *Dispatcher) startTimeout() time.Duration {
 	if d.opt.weighted {
 		return admit.GrantTTL
@@ -86,16 +85,14 @@
 	return admit.AttemptTTL
 }
 
-// idleConnectionShare of the connections that a backend server takes is divided among the
-// routers; the rest is for those that carry requests, of which one router may have
-// many while others have none.
+// idleConnectionShare is the fraction of a backend server's connection limit that is divided
+// evenly among the routers as idle connections. The rest is left for requests in flight, which
+// may be spread unevenly.
 const idleConnectionShare = 0.5
 
-// connectionShare returns this router's part of the connections that each backend
-// server of a service takes, 0 if the table does not say how many these are. Routers
-// that each kept what they opened had 1.5 times as many as three plain backend servers
-// take (430) at 62 routers and 300 requests a second, and the rest were reset with
-// requests on them: 774 to 1,379 of 13,600 a day.
+// connectionShare returns how many idle connections this router may keep to each backend server
+// of a service, 0 if the table states no limit. Without this bound, idle connections of many
+// routers would exceed the limit.
 func (d *Dispatcher) connectionShare(service string) int {
 	t := d.Table()
 	if t == nil {
@@ -118,13 +115,13 @@
 	d.post(e)
 }
 
-// wasDisconnected reports whether the backend server broke off while the request was under way
-// there. One that falls silent may only be slow, as all are where a machine has no time.
+// wasDisconnected reports whether the backend server closed the connection while the request
+// was in flight. A stalled server does not count: it may only be slow.
 func wasDisconnected(u front.Usage) bool {
 	return u.Error != nil && u.Sent && !u.Stalled && (u.Error.Code == "answer-cut" || u.Error.Code == "backend-broke")
 }
 
-// resultOf tells what an attempt's end says of the backend server.
+// resultOf classifies the outcome of an attempt with respect to the backend server.
 func resultOf(u front.Usage) admit.Result {
 	switch {
 	case u.Error == nil && u.Status >= http.StatusInternalServerError:
@@ -196,19 +193,19 @@
 	}})
 }
 
-// reply tells the caller's task of the decision.
-func (s *state) reply(id uint64, got decision) {
+// reply sends a decision to the waiting caller.
+func (s *state) reply(id uint64, dec decision) {
 	a, ok := s.waiting[id]
 	if !ok {
 		return
 	}
 	delete(s.waiting, id)
-	got.id, got.decidedAt = id, s.now
-	a.result <- got
+	dec.id, dec.decidedAt = id, s.now
+	a.result <- dec
 }
 
-// cancelEvent takes back an attempt whose caller has left: it still waits, or it
-// was started a moment ago and will not be sent.
+// cancelEvent cancels an attempt whose client disconnected, whether it still waits or was just
+// granted a slot.
 type cancelEvent struct{ *attempt }
 
 func (e cancelEvent) apply(s *state) {
@@ -220,14 +217,14 @@
 		}
 	}
 	select {
-	case got := <-e.result:
-		delete(s.tokenCounts, got.id)
-		s.step(admit.Cancel{ID: got.id})
+	case dec := <-e.result:
+		delete(s.tokenCounts, dec.id)
+		s.step(admit.Cancel{ID: dec.id})
 	default:
 	}
 }
 
-// drainEvent has what waits refused: the router takes nothing more.
+// drainEvent refuses all waiting requests.
 type drainEvent struct{}
 
 func (drainEvent) apply(s *state) {
@@ -256,13 +253,11 @@
 type endEvent struct {
 	id     uint64
 	result admit.Result
-	// request is the caller's id of the request, digest identifies it whichever try it
-	// is, 0 if nobody can.
+	// request is the request's id, digest identifies it across attempts, 0 if unknown.
 	request                 string
 	digest                  suspect.Digest
 	disconnected, completed bool
-	// tokens is what it has used.
-	tokens int64
+	tokens                  int64
 }
 
 func (e endEvent) apply(s *state) {
@@ -273,11 +268,10 @@
 	s.endingRequest = ""
 }
 
-// adjustResult is what an attempt's end says of the backend server, told by a router that is
-// hurried or not: one that cannot keep up hears late of everything, so that a silence may
-// be its own.
-func adjustResult(result admit.Result, hurried bool) admit.Result {
-	if hurried && (result == admit.Stalled || result == admit.Unreachable) {
+// adjustResult discards stalls and connection failures while this router is saturated, since
+// its own delay may have caused them.
+func adjustResult(result admit.Result, saturated bool) admit.Result {
+	if saturated && (result == admit.Stalled || result == admit.Unreachable) {
 		return admit.Unknown
 	}
 	return result
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// claimTimeout is how long the homes of a key may take.
+	// claimTimeout bounds the wait for the answers of a key's homes.
 	claimTimeout = 2 * time.Second
-	// keyHomeRetryAfter is when a caller may return whose key's homes cannot be reached.
+	// keyHomeRetryAfter is the Retry-After when too few homes of a key answered.
 	keyHomeRetryAfter = 2 * time.Second
-	// maxVouchPause is the longest pause after which this router still vouches for keys that
-	// it did not record: others take a router for lost, and the list may have changed.
+	// maxVouchPause is the longest pause after which this router still vouches for keys
+	// that it did not record. After a longer one, others may have removed it and changed
+	// the router list.
 	maxVouchPause = time.Second
 )
 
-// Answers to a request whose key was not granted. This request itself did not run, but where
-// the key was used before, the caller's request may have.
+// Refusals of a request whose key was not granted. This request did not run, but an earlier one
+// with the same key may have.
 var (
 	errKeyUsed = &verdict.Error{
 		Verdict: verdict.MayHaveRun, Phase: verdict.PhaseAdmit, Status: http.StatusConflict, Code: "key-used",
@@ -39,21 +40,21 @@
 		"the routers that remember this idempotency key cannot be reached; come back later")
 )
 
-// idempotencyKeys is a router's part in the use of idempotency idempotencyKeys: a home of some, and a claimant of
-// those of its callers. Homes are chosen by the platform's list, which says nothing of who
-// lives, so that a home that is away keeps its place.
+// idempotencyKeys tracks idempotency keys. Each key has home routers that record its use; this
+// router is a home of some keys and claims the keys of its callers. Homes are computed from the
+// platform's router list, which ignores liveness, so that an unavailable home keeps its role.
 type idempotencyKeys struct {
 	homes *once.Homes
-	// routersByZone are the routers of each zone by the platform's list, sorted.
+	// routersByZone holds the sorted router addresses of each zone by the platform's list.
 	routersByZone map[string][]string
 	pending       map[uint64]*pendingClaim
 	lastSeq       uint64
-	// wallOffset is the wallOffset time at the start less the dispatcher's clock: callers say by the
-	// wallOffset clock when they first used a key.
+	// wallOffset is the wall time minus the dispatcher's clock at the start. Callers state
+	// the first use of a key in wall time.
 	wallOffset time.Duration
 }
 
-// pendingClaim is a key that this router waits to hear of.
+// pendingClaim is a claim that waits for answers of the key's homes.
 type pendingClaim struct {
 	msg      *wire.Claim
 	answer   chan<- error
@@ -63,8 +64,8 @@
 }
 
 func newIdempotencyKeys(self string, now time.Duration, at time.Time) *idempotencyKeys {
-	wall := time.Duration(at.UnixNano()) - now
-	return &idempotencyKeys{homes: once.New(self, now+wall), routersByZone: map[string][]string{}, pending: map[uint64]*pendingClaim{}, wallOffset: wall}
+	offset := time.Duration(at.UnixNano()) - now
+	return &idempotencyKeys{homes: once.New(self, now+offset), routersByZone: map[string][]string{}, pending: map[uint64]*pendingClaim{}, wallOffset: offset}
 }
 
 func scopedKey(c front.Claim) string { return c.Account + "\x00" + c.Key }
@@ -119,7 +120,7 @@
 	}
 }
 
-// sendOrHandle sends a message about a key to a router, which may be this one.
+// sendOrHandle sends a claim message to a router, or handles it locally if that is this one.
 func (s *state) sendOrHandle(to string, msg any) {
 	if to == s.d.id.Address {
 		s.handleClaimMessage(to, msg)
@@ -128,7 +129,7 @@
 	s.d.net.Send(to, msg)
 }
 
-// homesOf returns the homes of a key by the platform's list, for a router of a zone.
+// homesOf returns the home routers of a key for a claim from a zone.
 func (k *idempotencyKeys) homesOf(key, zone string) []string {
 	zones := slices.Sorted(maps.Keys(k.routersByZone))
 	if !slices.Contains(zones, zone) {
@@ -138,7 +139,7 @@
 	return once.Of(key, k.routersByZone[once.Zone(key, zones)])
 }
 
-// setRouters takes in the platform's list of routers.
+// setRouters replaces the platform's router list.
 func (k *idempotencyKeys) setRouters(now time.Duration, zone string, list []platform.Instance) {
 	k.routersByZone = map[string][]string{}
 	for _, i := range list {
@@ -172,8 +173,8 @@
 	}
 }
 
-// finishClaim answers a claim. One that was not granted is taken back, so that it does not
-// stand in the way of the caller's next try.
+// finishClaim answers a claim. It voids a claim that was not granted, so that a retry of the
+// caller can use the key.
 func (s *state) finishClaim(cl *pendingClaim, state wire.ClaimState) {
 	delete(s.keys.pending, cl.msg.Seq)
 	if state != wire.ClaimGranted {
@@ -195,7 +196,7 @@
 	}
 }
 
-// expireClaims ends the claims that took too long, and forgets keys whose time is over.
+// expireClaims ends claims that timed out and forgets expired keys.
 func (s *state) expireClaims() {
 	s.keys.homes.Tick(s.now + s.keys.wallOffset)
 	for _, seq := range slices.Sorted(maps.Keys(s.keys.pending)) {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch is the task around the decisions of package admit: it
-// follows the platform, hears other routers, and answers the callers' side.
+// Package dispatch runs the scheduler of package admit in a router. It reads the platform,
+// exchanges messages with other routers and implements front.Scheduler.
 package dispatch
 
 import (
@@ -20,21 +20,21 @@
 )
 
 const (
-	// tickInterval is the interval of the core's own clock, busyTick while
-	// something waits.
+	// The core receives ticks every tickInterval, and every busyTickInterval while requests
+	// wait.
 	tickInterval     = 50 * time.Millisecond
 	busyTickInterval = 10 * time.Millisecond
 	inboxSize        = 4096
 )
 
-// Source is the platform as a router reads it.
+// Source reads what the platform publishes.
 type Source interface {
-	// Read reads everything as it is now.
+	// Read returns everything that is published.
 	Read(ctx context.Context) (catalog.Update, error)
-	// Watch waits for changes after a revision. Its error is
-	// catalog.ErrCompacted if the platform does not remember them.
+	// Watch waits for changes after a revision. It returns catalog.ErrCompacted if the
+	// platform no longer keeps them.
 	Watch(ctx context.Context, after catalog.Revision, wait time.Duration) (catalog.Update, error)
-	// Revision returns the platform's revision as it is now.
+	// Revision returns the platform's current revision.
 	Revision(ctx context.Context) (catalog.Revision, error)
 }
 
@@ -47,17 +47,16 @@
 	Losses() <-chan peer.Lost
 }
 
-// Identity is who a router is.
+// Identity describes a router.
 type Identity struct {
-	// Name is the router's name in logs.
+	// Name is used in logs.
 	Name string
-	// Address is where it listens for peers.
+	// Address is where the router listens for peers.
 	Address string
-	// Zone is the availability zone.
-	Zone string
+	Zone    string
 	// Incarnation is the wall-clock start time in nanoseconds.
 	Incarnation uint64
-	// Capacity is the share of processors, 0 if it is not stated.
+	// Capacity is the router's share of processors, 0 if unknown.
 	Capacity float64
 	// ListenAddresses are all addresses on which the router listens.
 	ListenAddresses []string
@@ -70,8 +69,8 @@
 	source    Source
 	net       Transport
 	startTime time.Time
-	// steadyStart is the same by the steady clock, by which lag is measured: a suspension is
-	// none.
+	// steadyStart is the start time on the monotonic clock, which stops while the machine
+	// is suspended. Lag is measured on it, so that a suspension does not count as lag.
 	steadyStart time.Time
 	events      chan event
 	ctx         context.Context
@@ -81,34 +80,37 @@
 	admission   admission
 }
 
-// shared is what other tasks may read of the state.
+// shared holds the state that other goroutines may read.
 type shared struct {
 	table    atomic.Pointer[table.Table]
 	status   atomic.Pointer[Status]
 	draining atomic.Bool
-	// overloaded says that this router cannot keep up with its requests.
+	// overloaded is true while the router can process only a small fraction of its
+	// requests.
 	overloaded atomic.Bool
-	// saturated says that it could not work on all of its requests a moment ago, shedding
-	// that it refuses many.
+	// saturated is true while the router lacks processor time for some of its requests,
+	// shedding while it refuses many.
 	saturated, shedding atomic.Bool
-	// loadStats is how well it keeps up, nil before that was measured.
+	// loadStats is nil before the first measurement.
 	loadStats atomic.Pointer[LoadStats]
-	// asOf is the platform's revision up to which all is known, nil before anything is.
+	// asOf is the platform revision up to which everything is known, nil before the first
+	// update.
 	asOf atomic.Pointer[catalog.Revision]
-	// cancelWatch ends the watch that waits, nil if there is none.
+	// cancelWatch cancels the pending watch, nil if there is none.
 	cancelWatch atomic.Pointer[context.CancelFunc]
-	// lastVerified is when that was last known to be the newest, on the
+	// lastVerified is when the known revision was last confirmed as the newest, on the
 	// dispatcher's clock; 0 if never.
 	lastVerified atomic.Int64
-	// applyWithin is the option of that name, in nanoseconds.
+	// applyWithin is the option of that name in nanoseconds.
 	applyWithin atomic.Int64
-	// readFailures counts the reads of the platform that failed since one did not.
+	// readFailures counts failed platform reads since the last success.
 	readFailures atomic.Int64
-	// noTableReason is why there is no table, nil if that is not known.
+	// noTableReason is why there is no table, nil if unknown.
 	noTableReason atomic.Pointer[error]
-	// routerCount is how many routerCount are known, those that fell silent lately with them.
+	// routerCount is the number of known routers, including those that became silent
+	// recently.
 	routerCount atomic.Int64
-	// readerRank is this router's place among those that read the platform.
+	// readerRank is this router's position in the order of platform readers, from 0.
 	readerRank atomic.Int64
 }
 
@@ -117,66 +119,68 @@
 	seeds       []string
 	retryRule   allowance.Rule
 	applyWithin time.Duration
-	// random draws from 0 up to 1.
+	// random returns numbers in [0, 1).
 	random func() float64
-	// forwarder is told of the other routers, nil if nothing is handed on.
+	// forwarder is nil if connections are not forwarded.
 	forwarder Forwarder
 	clock     *clock.Clock
-	// wallClock tells the time of day, by which callers say when they first used a key.
-	wallClock func() time.Time
-	// coreOptions are passed on to the decisions.
+	// wallClock returns the time of day. Callers state the first use of an idempotency key
+	// by it.
+	wallClock   func() time.Time
 	coreOptions []admit.Option
-	// weighted says that accounts are served by their weighted.
+	// weighted is true if accounts are served by their weights.
 	weighted bool
-	// loadReader reads those of backend servers, nil if nobody does.
+	// loadReader is nil if backend loads are not polled.
 	loadReader LoadReader
 }
 
-// Forwarder hands callers' connections on to other routers.
+// Forwarder forwards callers' connections to other routers.
 type Forwarder interface {
-	// SetPeers replaces the routers that take some, EndStreamsExcept ends what is under
-	// way with all that do not live, Lost with one.
+	// SetPeers replaces the routers that accept forwarded connections. EndStreamsExcept
+	// ends the streams with all routers that are not alive, Lost those with one router.
 	SetPeers(list []forward.Peer)
 	EndStreamsExcept(live map[string]bool)
 	EndStreams(address string)
 }
 
-// WithForwarder sets who is told of the other routers to which connections may be handed.
+// WithForwarder sets the forwarder that is kept up to date with the live routers.
 func WithForwarder(f Forwarder) Option { return func(o *options) { o.forwarder = f } }
 
 // Option changes a new Dispatcher.
 type Option func(*options)
 
-// WithLogger sets where events are logged.
+// WithLogger sets the logger.
 func WithLogger(l *slog.Logger) Option { return func(o *options) { o.log = l } }
 
-// WithSeeds sets the addresses of the routers to begin with.
+// WithSeeds sets the addresses of the routers to contact first.
 func WithSeeds(seeds []string) Option { return func(o *options) { o.seeds = seeds } }
 
 // WithRetryBudget sets the fleet's retry budget.
 func WithRetryBudget(r allowance.Rule) Option { return func(o *options) { o.retryRule = r } }
 
-// WithApplyWithin sets within what time a change at the platform is to be in
-// force at every router that can hear of it.
+// WithApplyWithin sets the time within which every reachable router must apply a change at the
+// platform.
 func WithApplyWithin(d time.Duration) Option { return func(o *options) { o.applyWithin = d } }
 
-// WithClock sets the clock by which all that is believed ages.
+// WithClock sets the clock that measures the age of all state.
 func WithClock(c *clock.Clock) Option { return func(o *options) { o.clock = c } }
 
-// WithUniqueStarts says that each start of a backend server has a name of its own unless the
-// directory gives it a number, and refuses what is meant for another.
+// WithUniqueStarts declares that every start of a backend server has its own name, unless the
+// directory numbers the starts. Requests that are meant for another start are refused.
 func WithUniqueStarts() Option {
 	return func(o *options) { o.coreOptions = append(o.coreOptions, admit.WithUniqueIncarnations()) }
 }
 
 // WithRandom sets the source of random numbers in [0, 1) that selects which requests are
 // admitted when an account is throttled. The default is rand.Float64.
-func WithRandom(draw func() float64) Option { return func(o *options) { o.random = draw } }
+func WithRandom(randomFloat func() float64) Option {
+	return func(o *options) { o.random = randomFloat }
+}
 
-// DefaultApplyWithin is used where settings do not say.
+// DefaultApplyWithin applies where the settings give no value.
 const DefaultApplyWithin = 2 * time.Second
 
-// New returns a dispatcher that Start starts.
+// New returns a dispatcher. Call Start to run it.
 func New(id Identity, source Source, n Transport, opts ...Option) *Dispatcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Dispatcher{
@@ -208,7 +212,7 @@
 	s.allowance.SetRule(e.Rule)
 }
 
-// Start starts the tasks.
+// Start starts the goroutines.
 func (d *Dispatcher) Start() {
 	tasks := []func(){d.run, d.watchPlatform, d.verifyPlatform, d.measureLag}
 	if l, ok := d.source.(InstanceLister); ok {
@@ -223,7 +227,7 @@
 	}
 }
 
-// Close ends the tasks at once.
+// Close stops the goroutines and waits for them.
 func (d *Dispatcher) Close() {
 	d.cancel()
 	d.tasks.Wait()
@@ -232,33 +236,33 @@
 // Closed reports whether Close was called.
 func (d *Dispatcher) Closed() bool { return d.ctx.Err() != nil }
 
-// clockStart is what the dispatcher's clock shows at its start, so that no
-// moment is the zero time.
+// clockStart is the reading of the dispatcher's clock at the start, so that 0 can mean "never".
 const clockStart = time.Hour
 
-// now is the dispatcher's clock, which only runs on, also while the machine is suspended.
+// now returns the time on the dispatcher's clock, which also counts while the machine is
+// suspended.
 func (d *Dispatcher) now() time.Duration { return clockStart + d.opt.clock.Since(d.startTime) }
 
-// event is what the task takes in one step.
+// event is one step of the event loop.
 type event interface{ apply(s *state) }
 
-// run is the task that owns the state.
+// run is the event loop. It owns the state.
 func (d *Dispatcher) run() {
 	s := newState(d)
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	soon := time.NewTimer(busyTickInterval)
-	defer soon.Stop()
+	busyTimer := time.NewTimer(busyTickInterval)
+	defer busyTimer.Stop()
 	armed := true
 	for {
 		if !armed && s.core.NeedsTicks() {
-			soon.Reset(busyTickInterval)
+			busyTimer.Reset(busyTickInterval)
 			armed = true
 		}
 		select {
 		case <-d.ctx.Done():
 			return
-		case <-soon.C:
+		case <-busyTimer.C:
 			armed = false
 			s.apply(tickEvent{})
 		case ev := <-d.events:
@@ -273,7 +277,7 @@
 	}
 }
 
-// post hands an event to the task, unless it has ended.
+// post queues an event for the event loop. It reports false if the dispatcher was closed.
 func (d *Dispatcher) post(ev event) bool {
 	select {
 	case d.events <- ev:
@@ -283,7 +287,7 @@
 	}
 }
 
-// asOf returns the platform's revision up to which all is known.
+// asOf returns the platform revision up to which everything is known.
 func (d *Dispatcher) asOf() catalog.Revision {
 	if r := d.shared.asOf.Load(); r != nil {
 		return *r
@@ -294,7 +298,7 @@
 // Table implements front.Scheduler.
 func (d *Dispatcher) Table() *table.Table { return d.shared.table.Load() }
 
-// Drain makes the router leave: others are told, and what waits is refused.
+// Drain announces to other routers that this one stops, and refuses waiting requests.
 func (d *Dispatcher) Drain() {
 	d.shared.draining.Store(true)
 	d.post(drainEvent{})
@@ -303,5 +307,5 @@
 // Draining reports whether Drain was called.
 func (d *Dispatcher) Draining() bool { return d.shared.draining.Load() }
 
-// Overloaded reports whether this router cannot keep up with its requests.
+// Overloaded reports whether this router can process only a small fraction of its requests.
 func (d *Dispatcher) Overloaded() bool { return d.shared.overloaded.Load() }
--- a/internal/dispatch/epoch.go
+++ b/internal/dispatch/epoch.go
@@ -5,36 +5,36 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// entered takes in that the platform came back from a copy: others ask for what it lists
-// now, and are told what it lost.
+// handleNewEpoch reacts to a platform that was restored from a backup: other routers learn of
+// the new epoch and receive what the backup lacks.
 func (s *state) handleNewEpoch(before catalog.Revision, from string) {
-	asOf, kept := s.catalog.AsOf(), s.catalog.Retained()
+	asOf, retained := s.catalog.AsOf(), s.catalog.Retained()
 	servers, zones := 0, 0
-	if kept != nil {
-		servers, zones = len(kept.Servers), len(kept.Zones)
+	if retained != nil {
+		servers, zones = len(retained.Servers), len(retained.Zones)
 	}
 	s.d.opt.log.Warn("platform_epoch", "epoch", asOf.Epoch, "as_of", asOf.Number, "before_epoch", before.Epoch, "before_as_of", before.Number,
-		"from", from, "retained_table", kept != nil && kept.Table != nil, "retained_backends", servers, "retained_zones", zones)
-	if end := s.d.shared.cancelWatch.Load(); end != nil {
-		(*end)()
+		"from", from, "retained_table", retained != nil && retained.Table != nil, "retained_backends", servers, "retained_zones", zones)
+	if cancel := s.d.shared.cancelWatch.Load(); cancel != nil {
+		(*cancel)()
 	}
 	s.broadcastVerified()
 	s.broadcastRetained("")
 }
 
-// tellRetained tells all with whom this router talks but one what it keeps of earlier epochs.
-func (s *state) broadcastRetained(but string) {
+// broadcastRetained sends all peers except one what is retained of earlier epochs.
+func (s *state) broadcastRetained(except string) {
 	if m := s.retainedUpdate(); m != nil {
-		s.broadcast(m, but)
+		s.broadcast(m, except)
 	}
 }
 
-// retainedNews returns what is kept of earlier epochs, nil if nothing is.
+// retainedUpdate returns what is retained of earlier epochs, nil if nothing is.
 func (s *state) retainedUpdate() *wire.News {
-	kept := s.catalog.Retained()
-	if kept == nil {
+	retained := s.catalog.Retained()
+	if retained == nil {
 		return nil
 	}
 	asOf := s.catalog.AsOf()
-	return &wire.News{Update: catalog.Update{Epoch: asOf.Epoch, After: asOf.Number, AsOf: asOf.Number, Retained: kept}}
+	return &wire.News{Update: catalog.Update{Epoch: asOf.Epoch, After: asOf.Number, AsOf: asOf.Number, Retained: retained}}
 }
--- a/internal/dispatch/follow.go
+++ b/internal/dispatch/follow.go
@@ -14,45 +14,40 @@
 )
 
 const (
-	// watchTimeout is how long a watch waits for news.
+	// watchTimeout is the longest duration of one watch.
 	watchTimeout = 10 * time.Second
-	// watcherCount is how many routers of the fleet hold a watch.
+	// watcherCount is the number of routers in the fleet that watch the platform.
 	watcherCount = 2
-	// watchPauseFraction is the part of the time within which changes are to be in force for
-	// which a router that heard of one waits before it watches again: what comes in
-	// quick succession, as when many backend servers are replaced, is heard of
-	// together, in a call for all.
+	// watchPauseFraction of the apply time is the pause between watches, so that one call
+	// collects changes that follow each other quickly.
 	watchPauseFraction = 1.0 / 15
-	// watchDelay is how long after its start a router may begin to watch: it
-	// has heard of the others by then, so that not all of them do at a start
-	// of the fleet.
+	// watchDelay is the time after the start before a router may watch. By then it knows
+	// the other routers and its rank.
 	watchDelay = 2 * time.Second
-	// maxPollWait is how often a task looks whether it is its turn, lookSoonest
-	// how soon at the earliest.
+	// maxPollWait and minPollWait bound the sleep between checks of whether this router
+	// should read the platform.
 	maxPollWait = 200 * time.Millisecond
 	minPollWait = 20 * time.Millisecond
-	// A router that is first reads the platform's revision when what it knows
-	// was last verified firstVerifyFraction of the time within which changes are to be
-	// in force ago; the others later, each by turnPart, up to lastPart.
+	// A router of rank 0 verifies its revision when the last verification is
+	// firstVerifyFraction of the apply time old. A router of rank r > 0 does so at
+	// baseVerifyFraction + r*rankVerifyFraction, at most maxVerifyFraction.
 	firstVerifyFraction = 0.2
 	baseVerifyFraction  = 0.4
 	rankVerifyFraction  = 0.05
 	maxVerifyFraction   = 0.7
-	// nonSeedReadDelay is how long after its start a router that is not among the seeds
-	// reads the platform itself, unless another has told it everything by then:
-	// three ways there and back between zones, and the seeds' own reading. A whole
-	// reading of a large platform takes several calls, which all routers would make
-	// when all start at once.
+	// nonSeedReadDelay is the time after the start before a router that is not a seed reads
+	// the platform, unless another router sent everything by then. A full read of a large
+	// platform takes several calls, which should not come from all routers at once when the
+	// fleet starts.
 	nonSeedReadDelay = 400 * time.Millisecond
-	// ranksPerDelay is how many turns further back one more of the pauses after a
-	// failure to read lasts as long again, up to mostPauses. So the calls of a
-	// platform that is down do not grow as fast as the fleet, and one that serves
-	// again is noticed by the first in turn within a second.
+	// The retry delay after a failed read grows by one base delay every ranksPerDelay
+	// ranks, up to maxDelayFactor base delays. This bounds the call rate of a large fleet
+	// while the platform is down, and the first reader still notices its recovery quickly.
 	ranksPerDelay  = 4
 	maxDelayFactor = 8
 )
 
-// newBackoff spreads the retries of all routers after an outage.
+// newBackoff returns a jittered backoff for platform reads.
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = 50 * time.Millisecond
@@ -61,8 +56,7 @@
 	return b
 }
 
-// watchPlatform is the task that waits for changes at the platform, while this router
-// is one of those that do.
+// watchPlatform waits for changes at the platform while this router's rank makes it a watcher.
 func (d *Dispatcher) watchPlatform() {
 	wait := newBackoff()
 	for d.ctx.Err() == nil {
@@ -71,7 +65,7 @@
 			d.sleep(maxPollWait)
 			continue
 		}
-		n, err := d.watchOnce(asOf)
+		update, err := d.watchOnce(asOf)
 		if errors.Is(err, errEpochChanged) {
 			continue
 		}
@@ -81,8 +75,8 @@
 			continue
 		}
 		wait.Reset()
-		if !n.Empty() || len(n.Skipped) > 0 {
-			d.post(updateEvent{Update: n})
+		if !update.Empty() || len(update.Skipped) > 0 {
+			d.post(updateEvent{Update: update})
 			d.sleep(time.Duration(watchPauseFraction * float64(d.shared.applyWithin.Load())))
 		}
 	}
@@ -91,35 +85,35 @@
 // readPlatform reads everything that is published.
 func (d *Dispatcher) readPlatform() (catalog.Update, error) {
 	known := d.asOf()
-	n, err := d.source.Read(d.ctx)
+	update, err := d.source.Read(d.ctx)
 	if err == nil {
-		d.warnIfOlder("read", known, catalog.Revision{Epoch: n.Epoch, Number: n.AsOf})
+		d.warnIfOlder("read", known, catalog.Revision{Epoch: update.Epoch, Number: update.AsOf})
 	}
-	return n, err
+	return update, err
 }
 
-// errEpochChanged ends a watch from a revision that the platform has no longer.
+// errEpochChanged ends a watch on a revision of an earlier epoch.
 var errEpochChanged = errors.New("dispatch: the platform came back from a copy")
 
-// watchOnce waits for changes after a revision, and reads everything if they are forgotten.
+// watchOnce waits for changes after a revision. It reads everything if the platform no longer
+// keeps them.
 func (d *Dispatcher) watchOnce(asOf catalog.Revision) (catalog.Update, error) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	defer cancel()
 	d.shared.cancelWatch.Store(&cancel)
-	n, err := d.source.Watch(ctx, asOf, watchTimeout)
+	update, err := d.source.Watch(ctx, asOf, watchTimeout)
 	d.shared.cancelWatch.Store(nil)
 	switch {
 	case errors.Is(err, catalog.ErrCompacted):
 		return d.readPlatform()
 	case err != nil && d.asOf().Epoch != asOf.Epoch:
-		return n, errEpochChanged
+		return update, errEpochChanged
 	default:
-		return n, err
+		return update, err
 	}
 }
 
-// warnIfOlder logs an answer of another epoch than what was known when it was asked for, or
-// of an older revision.
+// warnIfOlder logs a response whose revision is of another epoch than the known one, or older.
 func (d *Dispatcher) warnIfOlder(what string, known, r catalog.Revision) {
 	if known.IsZero() || known.Epoch == r.Epoch && known.Number <= r.Number {
 		return
@@ -135,15 +129,15 @@
 	}
 }
 
-// recordReadSuccess logs that the platform can be read again after failures.
+// recordReadSuccess logs the first successful read after failures.
 func (d *Dispatcher) recordReadSuccess() {
 	if n := d.shared.readFailures.Swap(0); n > 0 {
 		d.opt.log.Info("platform_read_again", "failures", n, "as_of", d.asOf().Number)
 	}
 }
 
-// verifyPlatform is the task that makes sure that nothing newer is missed: a watch
-// that waits proves nothing.
+// verifyPlatform confirms at intervals that the known revision is the newest. A pending watch
+// does not prove that.
 func (d *Dispatcher) verifyPlatform() {
 	wait := newBackoff()
 	for d.ctx.Err() == nil {
@@ -151,8 +145,8 @@
 			d.sleep(min(max(due, minPollWait), maxPollWait))
 			continue
 		}
-		begun := d.now()
-		if err := d.verifyOnce(begun); err != nil {
+		start := d.now()
+		if err := d.verifyOnce(start); err != nil {
 			d.recordReadFailure("verify", err)
 			d.sleep(d.retryDelay(wait.NextBackOff()))
 			continue
@@ -162,35 +156,34 @@
 	}
 }
 
-// retryDelay stretches a pause by this router's place among those that
-// read the platform.
-func (d *Dispatcher) retryDelay(pause time.Duration) time.Duration {
-	pauses := 1 + float64(d.shared.readerRank.Load())/ranksPerDelay
-	return time.Duration(min(pauses, maxDelayFactor) * float64(pause))
+// retryDelay scales a delay by this router's rank.
+func (d *Dispatcher) retryDelay(delay time.Duration) time.Duration {
+	factor := 1 + float64(d.shared.readerRank.Load())/ranksPerDelay
+	return time.Duration(min(factor, maxDelayFactor) * float64(delay))
 }
 
-// verifyDue returns in how long from now it is this router's turn to read; now if
-// that is not above zero.
+// verifyDue returns the time until this router must verify its revision. Values up to 0 mean
+// now.
 func (d *Dispatcher) verifyDue(now time.Duration) time.Duration {
 	verified := time.Duration(d.shared.lastVerified.Load())
 	switch {
 	case verified > 0:
 	case !d.asOf().IsZero():
-		// Another router told everything; its own bound on its age holds here too.
+		// Another router sent everything, but not how fresh it is.
 		verified = clockStart
 	case len(d.opt.seeds) == 0 || slices.Contains(d.opt.seeds, d.id.Address):
 		return 0
 	default:
 		return clockStart + nonSeedReadDelay - now
 	}
-	part := firstVerifyFraction
-	if turn := d.shared.readerRank.Load(); turn > 0 {
-		part = min(baseVerifyFraction+rankVerifyFraction*float64(turn), maxVerifyFraction)
+	fraction := firstVerifyFraction
+	if rank := d.shared.readerRank.Load(); rank > 0 {
+		fraction = min(baseVerifyFraction+rankVerifyFraction*float64(rank), maxVerifyFraction)
 	}
-	return verified + time.Duration(part*float64(d.shared.applyWithin.Load())) - now
+	return verified + time.Duration(fraction*float64(d.shared.applyWithin.Load())) - now
 }
 
-func (d *Dispatcher) verifyOnce(begun time.Duration) error {
+func (d *Dispatcher) verifyOnce(start time.Duration) error {
 	if asOf := d.asOf(); !asOf.IsZero() {
 		revision, err := d.source.Revision(d.ctx)
 		if err != nil {
@@ -201,18 +194,18 @@
 			return fmt.Errorf("dispatch: the platform answers with revision %d of epoch %d, which is older than what is known; see to it that it does not go back", revision.Number, revision.Epoch)
 		}
 		if revision == asOf {
-			d.recordVerified(begun)
+			d.recordVerified(start)
 			d.post(verifiedEvent{})
 			return nil
 		}
-		begun = d.now()
+		start = d.now()
 	}
-	n, err := d.readPlatform()
+	update, err := d.readPlatform()
 	if err != nil {
 		return err
 	}
 	applied := make(chan struct{})
-	if d.post(updateEvent{Update: n, at: begun, applied: applied}) {
+	if d.post(updateEvent{Update: update, readAt: start, applied: applied}) {
 		select {
 		case <-applied:
 		case <-d.ctx.Done():
@@ -221,17 +214,18 @@
 	return nil
 }
 
-// recordVerified notes that nothing newer was at the platform at a time.
-func (d *Dispatcher) recordVerified(readAt time.Duration) {
+// recordVerified records that the known revision was the newest at a time. An earlier time than
+// the recorded one is ignored.
+func (d *Dispatcher) recordVerified(at time.Duration) {
 	for {
 		old := d.shared.lastVerified.Load()
-		if int64(readAt) <= old || d.shared.lastVerified.CompareAndSwap(old, int64(readAt)) {
+		if int64(at) <= old || d.shared.lastVerified.CompareAndSwap(old, int64(at)) {
 			return
 		}
 	}
 }
 
-// sleep waits; it reports false if the router ends meanwhile.
+// sleep reports false if the dispatcher is closed before the time is over.
 func (d *Dispatcher) sleep(wait time.Duration) bool {
 	t := time.NewTimer(wait)
 	defer t.Stop()
@@ -243,15 +237,15 @@
 	}
 }
 
-// updateEvent is news of the platform, read by this router or told by another.
+// updateEvent is an update of the platform's data, read by this router or sent by another.
 type updateEvent struct {
 	catalog.Update
-	// senderName is the name of the router that told them, senderAddress its address; ""
-	// if read here.
+	// senderName and senderAddress identify the router that sent the update. They are empty
+	// if this router read it.
 	senderName, senderAddress string
-	// at is when they were the newest, 0 if that is not known.
-	at time.Duration
-	// applied is closed when they are in force.
+	// readAt is when the update was the newest, 0 if unknown.
+	readAt time.Duration
+	// applied is closed once the update is applied.
 	applied chan<- struct{}
 }
 
@@ -265,8 +259,8 @@
 	s.logOlderTable(&e)
 	asOf := s.catalog.AsOf()
 	s.d.shared.asOf.Store(&asOf)
-	if e.at > 0 && !e.revision().Before(asOf) {
-		s.d.recordVerified(e.at)
+	if e.readAt > 0 && !e.revision().Before(asOf) {
+		s.d.recordVerified(e.readAt)
 	}
 	if changed {
 		s.applyTable(e.senderName)
@@ -277,15 +271,15 @@
 	case before.Before(asOf):
 		s.broadcastUpdate(before.Number, e.senderAddress)
 	case asOf.IsZero():
-		// Who was asked knew nothing either: the next may be asked at once.
+		// The sender knew nothing either, so another router may be asked at once.
 		s.updateRequestedAt = 0
 	case changed && e.Retained != nil && s.peerPlan.Relay:
 		s.broadcastRetained(e.senderAddress)
 	}
 }
 
-// logOlderTable logs that what was read holds an older version of the table than the one in force,
-// as after the platform came back from a copy. Another router tells only what it has in force.
+// logOlderTable logs that the platform published an older table than the one in force, for
+// example after it was restored from a backup. Updates of other routers are not checked.
 func (s *state) logOlderTable(e *updateEvent) {
 	if v := s.catalog.View(); v != nil && e.Table != nil && e.senderName == "" && v.Version().NewerThan(e.Table.Version()) {
 		s.d.opt.log.Warn("table_older", "edition", e.Table.Edition, "revision", e.Table.Revision, "epoch", e.Epoch,
@@ -293,12 +287,12 @@
 	}
 }
 
-// revision is the revision up to which the news are complete.
+// revision returns the revision up to which the update is complete.
 func (e updateEvent) revision() catalog.Revision {
 	return catalog.Revision{Epoch: e.Epoch, Number: e.AsOf}
 }
 
-// applyTable puts the catalog's view in force.
+// applyTable applies the catalog's current view.
 func (s *state) applyTable(from string) {
 	v := s.catalog.View()
 	if v == nil {
@@ -311,14 +305,14 @@
 	s.step(admit.TableUpdate{Table: v})
 }
 
-// errNoData is why a router without a table is not ready.
+// errNoData explains why a router without a table is not ready.
 var errNoData = errors.New("dispatch: neither the platform nor another router has been read yet")
 
-// Ready reports whether callers may be sent here.
+// Ready returns why the router cannot serve callers, nil if it can.
 func (d *Dispatcher) Ready(context.Context) error {
 	if d.Table() == nil {
-		if lack := d.shared.noTableReason.Load(); lack != nil {
-			return *lack
+		if reason := d.shared.noTableReason.Load(); reason != nil {
+			return *reason
 		}
 		return errNoData
 	}
--- a/internal/dispatch/freeze.go
+++ b/internal/dispatch/freeze.go
@@ -3,20 +3,20 @@
 // PauseLoop blocks the event loop until resume is called, to simulate a paused process. It is
 // meant for tests and measurements.
 func (d *Dispatcher) PauseLoop() (resume func()) {
-	begun, end := make(chan struct{}), make(chan struct{})
-	if !d.post(pauseEvent{begun, end}) {
+	paused, release := make(chan struct{}), make(chan struct{})
+	if !d.post(pauseEvent{paused, release}) {
 		return func() {}
 	}
-	<-begun
-	return func() { close(end) }
+	<-paused
+	return func() { close(release) }
 }
 
-type pauseEvent struct{ begun, end chan struct{} }
+type pauseEvent struct{ paused, release chan struct{} }
 
 func (e pauseEvent) apply(s *state) {
-	close(e.begun)
+	close(e.paused)
 	select {
-	case <-e.end:
+	case <-e.release:
 	case <-s.d.ctx.Done():
 	}
 }
--- a/internal/dispatch/instances.go
+++ b/internal/dispatch/instances.go
@@ -10,16 +10,17 @@
 
 // InstanceLister is a Source that also publishes the list of routers.
 type InstanceLister interface {
-	// Instances waits for a list after a revision, for a while at most; ok is false if there
-	// was none.
+	// Instances waits a limited time for a list after a revision; ok is false if there was
+	// none.
 	Instances(ctx context.Context, after uint64) (list platform.Instances, ok bool, err error)
 }
 
-// listPause is the shortest time between two readings of the list, drawn up to twice that.
+// listInterval is the shortest interval between two reads of the list. A random part of up to
+// the same length is added.
 const listInterval = 100 * time.Millisecond
 
-// watchInstances is the task that follows the platform's list of routers: it names whom to
-// try first, and which routers are homes of keys.
+// watchInstances follows the platform's list of routers, which gives the seeds and the homes of
+// idempotency keys.
 func (d *Dispatcher) watchInstances(l InstanceLister) {
 	wait := newBackoff()
 	for after := uint64(0); d.ctx.Err() == nil; {
--- a/internal/dispatch/lag.go
+++ b/internal/dispatch/lag.go
@@ -6,13 +6,11 @@
 	"time"
 )
 
-// lagEvery is the interval at which it is measured how late this process
-// learns of what came to its sockets.
+// lagInterval is the interval of lag measurements.
 const lagInterval = 50 * time.Millisecond
 
-// measureLag is the task that writes to a pipe and sees how late the other end
-// hears of it: a process with too little time still runs its timers, but looks
-// at its sockets late.
+// measureLag measures the delay between writing to a pipe and reading from it. A process that
+// lacks processor time still runs its timers, but polls its sockets late.
 func (d *Dispatcher) measureLag() {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -35,7 +33,7 @@
 	}
 }
 
-// writeLag writes the time into the pipe until the dispatcher ends.
+// writeLagProbes writes the time into the pipe until the dispatcher is closed.
 func (d *Dispatcher) writeLagProbes(w *os.File) {
 	defer func() { _ = w.Close() }()
 	tick := time.NewTicker(lagInterval)
@@ -55,7 +53,7 @@
 	}
 }
 
-// lagEvent says how late this process heard of something.
-type lagEvent struct{ by time.Duration }
+// lagEvent is a lag measurement.
+type lagEvent struct{ delay time.Duration }
 
-func (e lagEvent) apply(s *state) { s.observeDelay(e.by) }
+func (e lagEvent) apply(s *state) { s.observeDelay(e.delay) }
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -14,16 +14,16 @@
 }
 
 const (
-	// loadEvery is the interval at which the owner of a backend server reads its load.
+	// loadInterval is the interval of reading the load of an owned backend server.
 	loadInterval = time.Second
-	// ownedEvery is the interval at which is looked which backend servers are owned.
+	// ownedCheckInterval is the interval of checking which backend servers are owned.
 	ownedCheckInterval = 200 * time.Millisecond
 )
 
 // WithLoadReader makes the router poll the load of the backend servers that it owns.
 func WithLoadReader(l LoadReader) Option { return func(o *options) { o.loadReader = l } }
 
-// followLoads starts and ends the readers, one for each backend server that is owned.
+// updateLoadReaders starts and stops readers so that each owned backend server has one.
 func (s *state) updateLoadReaders() {
 	if s.d.opt.loadReader == nil || s.now-s.ownedCheckedAt < ownedCheckInterval {
 		return
@@ -36,17 +36,17 @@
 			s.loadReaders[b.Name] = s.d.startLoadReader(b)
 		}
 	}
-	for name, end := range s.loadReaders {
+	for name, stop := range s.loadReaders {
 		if !owned[name] {
-			end()
+			stop()
 			delete(s.loadReaders, name)
 		}
 	}
 }
 
-// readLoads starts the task that reads a backend server's load.
-func (d *Dispatcher) startLoadReader(b table.Backend) (end context.CancelFunc) {
-	ctx, end := context.WithCancel(d.ctx)
+// startLoadReader starts a goroutine that polls a backend server's load.
+func (d *Dispatcher) startLoadReader(b table.Backend) (stop context.CancelFunc) {
+	ctx, stop := context.WithCancel(d.ctx)
 	d.tasks.Add(1)
 	go func() {
 		defer d.tasks.Done()
@@ -63,7 +63,7 @@
 			}
 		}
 	}()
-	return end
+	return stop
 }
 
 type loadEvent struct {
--- a/internal/dispatch/members.go
+++ b/internal/dispatch/members.go
@@ -10,16 +10,16 @@
 	"github.com/yarrowmast/yarrowmast/pkg/rendezvous"
 )
 
-// readerKey is hashed to order the routers that read the platform.
+// readerKey is hashed with the routers' addresses to rank the platform readers.
 const readerKey = "reader"
 
-// membersEach bounds how often is worked out who lives, relays and owns: not sooner after
-// the last time than so long for each known router. It takes 1 us and more for each, and
-// where all start at once each hears of all others, several times.
+// membersIntervalPerRouter times the number of known routers is the shortest interval of
+// recomputing membership. The cost grows with the fleet, and many changes arrive together when
+// it starts.
 const membersIntervalPerRouter = 200 * time.Microsecond
 
-// heardOfMembers takes in that another router lives or does not, or what another one
-// believes of that, at once or with what else is heard in a moment.
+// scheduleMembersUpdate recomputes membership now, or at a later tick if that was done
+// recently.
 func (s *state) scheduleMembersUpdate() {
 	s.membersDirty = s.now-s.membersUpdatedAt < membersIntervalPerRouter*time.Duration(s.d.shared.routerCount.Load())
 	if !s.membersDirty {
@@ -27,8 +27,7 @@
 	}
 }
 
-// membersChanged tells those who decide by the routers that live, if these
-// changed.
+// updateMembers recomputes membership and informs the core and the forwarder if it changed.
 func (s *state) updateMembers() {
 	s.membersUpdatedAt, s.membersDirty = s.now, false
 	s.peerPlan = s.roster.Plan(s.now)
@@ -45,18 +44,18 @@
 		return
 	}
 	s.routers, s.leaving, s.knownByZone, s.routerHostSet = routers, leaving, known, nil
-	all := 0
+	total := 0
 	for _, n := range known {
-		all += n
+		total += n
 	}
-	s.d.shared.routerCount.Store(int64(all))
+	s.d.shared.routerCount.Store(int64(total))
 	s.d.opt.log.Info("members", "live", len(routers)+1, "relay", s.peerPlan.Relay, "mesh", s.peerPlan.Mesh, "leaving", leaving)
 	s.step(admit.Routers{List: routers, Leaving: leaving, KnownByZone: known})
 	s.updateForwarder()
 }
 
-// tellForwarder tells to which routers of the zone connections may be handed, and which
-// routers live.
+// updateForwarder passes the live routers, and those of the own zone as forwarding peers, to
+// the forwarder.
 func (s *state) updateForwarder() {
 	f := s.d.opt.forwarder
 	if f == nil {
@@ -77,20 +76,21 @@
 	f.EndStreamsExcept(live)
 }
 
-// takeTurn finds this router's place among those that read the platform.
+// updateReaderRank computes this router's rank among the platform readers. A draining router
+// ranks last.
 func (s *state) updateReaderRank() {
-	staying := s.roster.Active(s.now)
-	turn := 0
+	active := s.roster.Active(s.now)
+	rank := 0
 	if s.d.Draining() {
-		turn = len(staying) + watcherCount
+		rank = len(active) + watcherCount
 	}
-	own := rendezvous.Weight(readerKey, s.d.id.Address)
-	for _, address := range staying {
-		if rendezvous.Weight(readerKey, address) > own {
-			turn++
+	ownWeight := rendezvous.Weight(readerKey, s.d.id.Address)
+	for _, address := range active {
+		if rendezvous.Weight(readerKey, address) > ownWeight {
+			rank++
 		}
 	}
-	if old := s.d.shared.readerRank.Swap(int64(turn)); old != int64(turn) {
-		s.d.opt.log.Debug("reader_turn", "turn", turn, "before", old)
+	if old := s.d.shared.readerRank.Swap(int64(rank)); old != int64(rank) {
+		s.d.opt.log.Debug("reader_turn", "turn", rank, "before", old)
 	}
 }
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// overloadedPart is the part of its requests from which a router that can
-	// work on no more has new connections sent elsewhere, overloadedFor for how
-	// long it stays so at least.
+	// A router is overloaded while it can process less than overloadThreshold of its
+	// requests, and for at least minOverloadDuration.
 	overloadThreshold   = 0.5
 	minOverloadDuration = 2 * time.Second
 )
 
-// keepPace learns from how late this process heard of something.
-func (s *state) observeDelay(late time.Duration) {
-	s.estimator.ObserveDelay(s.now, late)
+// observeDelay records a measured delay of this process.
+func (s *state) observeDelay(delay time.Duration) {
+	s.estimator.ObserveDelay(s.now, delay)
 	s.step(admit.ProcessingDelay{Delay: s.estimator.Delay()})
 	s.updateOverloaded()
 }
 
-// notePace tells the callers' tasks, and operators, how well this router keeps up.
+// publishLoadStats publishes the load statistics to the callers' goroutines and logs changes of
+// saturation.
 func (s *state) publishLoadStats() {
 	p := &LoadStats{AdmitRatio: s.estimator.AdmittedFraction(), Lag: s.estimator.Delay(), Rate: s.estimator.Rate()}
 	s.d.shared.loadStats.Store(p)
@@ -34,20 +34,19 @@
 	}
 }
 
-// limitedFor is for how long a router must have had time for all to count as one that
-// has: at its limit it has, and has not, several times a second.
+// saturatedHold is how long a router stays saturated after it last lacked time. At its limit,
+// it would otherwise change state several times a second.
 const saturatedHold = time.Second
 
-// refusingFrom is how many requests a second are refused from which on new connections
-// are looked at before the HTTP server has them: to look costs a tenth of what it saves
-// for each that is refused.
+// sheddingThreshold is the number of refusals per second from which new connections are checked
+// before the HTTP server accepts them. The check has a cost for every connection.
 const sheddingThreshold = 20
 
 // Shedding implements front.Scheduler.
 func (d *Dispatcher) Shedding() bool { return d.Saturated() || d.shared.shedding.Load() }
 
-// seeWhetherOverloaded tells balancers to send new connections elsewhere while
-// this router can work on a small part of its requests only.
+// updateOverloaded sets the overload flag, which makes load balancers send new connections
+// elsewhere.
 func (s *state) updateOverloaded() {
 	overloaded := s.d.shared.overloaded.Load()
 	switch {
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -11,40 +11,37 @@
 )
 
 const (
-	// gossipEvery is the interval at which a router tells one other whom it
-	// knows, where nobody vouches for anyone.
+	// gossipInterval is the interval of sending the roster to one other router in a full
+	// mesh, where no relays do so.
 	gossipInterval = 2 * time.Second
-	// askNewsEvery bounds how often news are asked for, askAllEvery how often all that
-	// the platform published is: at 3,000 backend servers that takes 0.3 MB, which a
-	// router that starts would else get from each that it hears.
+	// updateRequestInterval bounds the rate of requests for updates,
+	// fullUpdateRequestInterval that of requests for full updates, which are large.
 	updateRequestInterval     = 100 * time.Millisecond
 	fullUpdateRequestInterval = 300 * time.Millisecond
-	// silentTellings is how many tellings may be missed before what was told
-	// counts no more.
+	// maxMissedReports is the number of missed reports after which the last one expires.
 	maxMissedReports = 4
 )
 
-// link is what is remembered of the talk with another router.
+// link is the state of the exchange with another router.
 type link struct {
-	inc uint64
-	// stamp is the last one received from it, stampAt when that was.
+	incarnation uint64
+	// stamp is the last time stamp received, stampReceivedAt when it arrived.
 	stamp           wire.Stamp
 	stampReceivedAt time.Duration
-	// rosterDigest is that of the roster that it was last told, rosterVersion how many
-	// rosterVersion of the roster had been by then.
+	// rosterDigest and rosterVersion identify the roster that was last sent.
 	rosterDigest, rosterVersion uint64
-	// askedWhole is when it was last asked for its whole roster.
+	// rosterRequestedAt is when the full roster was last requested.
 	rosterRequestedAt time.Duration
 }
 
-// messageEvent is a message of another router.
+// messageEvent is a message from another router.
 type messageEvent struct{ peer.Inbound }
 
 func (e messageEvent) apply(s *state) {
 	member := roster.Member{Address: e.From, Name: e.Name, Zone: e.Zone, Inc: e.Inc}
 	if s.roster.Observe(s.now, member) {
 		s.d.opt.log.Info("member_heard", "peer", e.Name, "address", e.From, "zone", e.Zone, "incarnation", e.Inc)
-		if _, told := e.Msg.(*wire.Roster); !told {
+		if _, isRoster := e.Msg.(*wire.Roster); !isRoster {
 			s.sendFullRoster(e.From, true)
 		}
 		if s.catalog.AsOf().IsZero() {
@@ -75,7 +72,7 @@
 	}
 }
 
-// indexTables makes the tables of received news ready to be searched.
+// indexTables indexes the tables of a received update for lookups.
 func indexTables(n *catalog.Update) {
 	if n.Table != nil {
 		n.Table.Index()
@@ -94,11 +91,11 @@
 	return l
 }
 
-// hear takes in what another router has under way and how much it knows.
+// handleState processes a report of another router.
 func (s *state) handleState(from peer.Inbound, m *wire.State) {
 	l := s.link(from.From)
-	if l.inc < from.Inc {
-		*l = link{inc: from.Inc}
+	if l.incarnation < from.Inc {
+		*l = link{incarnation: from.Inc}
 	}
 	l.stamp, l.stampReceivedAt = m.Stamp, s.now
 	if m.Leaving {
@@ -110,18 +107,18 @@
 	if s.acceptsScope(from, m.Scope) {
 		s.step(admit.PeerState{From: from.From, Zone: from.Zone, Msg: m, TTL: maxMissedReports * s.peerPlan.Interval})
 	}
-	asOf, theirs := s.catalog.AsOf(), catalog.Revision{Epoch: m.Epoch, Number: m.AsOf}
-	if asOf.Before(theirs) {
+	asOf, peerAsOf := s.catalog.AsOf(), catalog.Revision{Epoch: m.Epoch, Number: m.AsOf}
+	if asOf.Before(peerAsOf) {
 		s.requestUpdate(from.From)
 		return
 	}
-	if theirs == asOf && m.Age >= 0 && m.Echo > 0 {
+	if peerAsOf == asOf && m.Age >= 0 && m.Echo > 0 {
 		s.handleVerified(from, m)
 	}
 }
 
-// accepts reports whether flows of a scope are counted here: all flows must be
-// counted, and none twice.
+// acceptsScope reports whether this router counts flows of a scope from a sender, so that every
+// flow is counted exactly once.
 func (s *state) acceptsScope(from peer.Inbound, scope wire.Scope) bool {
 	switch scope {
 	case wire.ScopeOwn:
@@ -135,20 +132,19 @@
 	}
 }
 
-// allNewsFor is for how long all that the platform published is told as it was collected
-// once, while nothing is published.
+// fullUpdateTTL is how long a cached full update may be reused.
 const fullUpdateTTL = 200 * time.Millisecond
 
-// allNews is all that the platform published, as collected for somebody who asked.
+// cachedUpdate is a full update built for an earlier request.
 type cachedUpdate struct {
 	msg  *wire.News
 	asOf catalog.Revision
 	at   time.Duration
 }
 
-// newsFor returns what the platform published after a revision. All of it is collected
-// once for all who ask at a start of the fleet, or of an epoch: what waits to be sent to 100
-// routers would else hold 60 MB at 3,000 backend servers. The message is not changed any more.
+// updateSince returns what was published after a revision. Full updates are cached, since many
+// routers request one when the fleet starts and queued copies would need much memory. The
+// message must not be modified.
 func (s *state) updateSince(ask *wire.NewsAsk) *wire.News {
 	asOf := s.catalog.AsOf()
 	if ask.Epoch == asOf.Epoch && s.catalog.HasHistorySince(ask.After) {
@@ -160,52 +156,52 @@
 	return s.fullUpdate.msg
 }
 
-// askNews asks another router for what it knows beyond what is known here.
+// requestUpdate asks another router for what it knows beyond the local revision.
 func (s *state) requestUpdate(from string) {
 	after := s.catalog.AsOf()
-	every := updateRequestInterval
+	interval := updateRequestInterval
 	if after.IsZero() {
-		every = fullUpdateRequestInterval
+		interval = fullUpdateRequestInterval
 	}
-	if s.now-s.updateRequestedAt < every {
+	if s.now-s.updateRequestedAt < interval {
 		return
 	}
 	s.updateRequestedAt = s.now
 	s.d.net.Send(from, &wire.NewsAsk{Epoch: after.Epoch, After: after.Number})
 }
 
-// spread tells others at once what came after a revision: what this router has
-// read itself to all it talks with, and a relay passes on what it was told.
+// broadcastUpdate sends what was published after a revision. A router sends what it read itself
+// to all its peers; a relay also passes on what it received.
 func (s *state) broadcastUpdate(after uint64, sender string) {
 	if after == 0 {
-		// All at once would be sent to everybody by everybody at a start of the fleet:
-		// whoever lacks it asks for it.
+		// Sending everything would flood the network when the fleet starts. Routers
+		// that lack it request it.
 		s.broadcastVerified()
 		return
 	}
 	if sender != "" && !s.peerPlan.Relay {
 		return
 	}
-	news := s.catalog.Since(after)
-	if news.Empty() {
+	update := s.catalog.Since(after)
+	if update.Empty() {
 		return
 	}
-	s.broadcast(&wire.News{Update: news}, sender)
+	s.broadcast(&wire.News{Update: update}, sender)
 }
 
-// sendToAll sends a message, which is not changed any more, to all that this router talks
-// with but one, "" for none.
-func (s *state) broadcast(msg any, but string) {
+// broadcast sends a message to all peers except one, "" for none. The message must not be
+// modified.
+func (s *state) broadcast(msg any, except string) {
 	for _, list := range [][]string{s.peerPlan.Peers, s.peerPlan.Served, s.peerPlan.RemoteRelays} {
 		for _, to := range list {
-			if to != but {
+			if to != except {
 				s.d.net.Send(to, msg)
 			}
 		}
 	}
 }
 
-// lossEvent is a router to which messages could not be delivered.
+// lossEvent reports that messages to a router could not be delivered.
 type lossEvent struct{ peer.Lost }
 
 func (e lossEvent) apply(s *state) {
@@ -221,7 +217,7 @@
 	s.scheduleMembersUpdate()
 }
 
-// tellOthers tells other routers what is due to be told.
+// sendReports sends the periodic reports to other routers.
 func (s *state) sendReports() {
 	if s.now-s.reportedAt < s.peerPlan.Interval {
 		return
@@ -232,18 +228,19 @@
 	for _, to := range s.peerPlan.Peers {
 		s.sendReport(to, t, wire.ScopeOwn, t.Copies())
 	}
-	// Both relays of a zone hear all that its routers tell, so one passes it on.
+	// Every relay of a zone receives the reports of its routers, so only the primary relay
+	// passes the sums on.
 	served, servedCopies := wire.ScopeNone, t.Copies()
-	others, zoneCopies := wire.ScopeNone, t.Copies()
+	remote, zoneCopies := wire.ScopeNone, t.Copies()
 	if s.peerPlan.Primary {
 		served, servedCopies = wire.ScopeRest, t.AllCopies()
-		others, zoneCopies = wire.ScopeZone, t.ZoneCopies()
+		remote, zoneCopies = wire.ScopeZone, t.ZoneCopies()
 	}
 	for _, to := range s.peerPlan.Served {
 		s.sendReport(to, t, served, servedCopies)
 	}
 	for _, to := range s.peerPlan.RemoteRelays {
-		s.sendReport(to, t, others, zoneCopies)
+		s.sendReport(to, t, remote, zoneCopies)
 	}
 	for _, to := range s.roster.NextProbes(s.now, s.peerPlan) {
 		s.probe(to)
@@ -252,7 +249,7 @@
 	s.gossip()
 }
 
-// sendReport sends one router what it is to know.
+// sendReport sends one router its report.
 func (s *state) sendReport(to string, t *admit.Snapshot, scope wire.Scope, copies []wire.Copy) {
 	m := s.stateMessage(to)
 	m.Scope, m.Copies = scope, copies
@@ -267,8 +264,7 @@
 	s.sendUsage(to, t, scope)
 }
 
-// gossip tells one router in turn whom this one knows, where there are no relays
-// to do so.
+// gossip sends the roster to one other router in turn, if the fleet is a full mesh.
 func (s *state) gossip() {
 	all := s.peerPlan.Peers
 	if !s.peerPlan.Mesh || s.now-s.gossipedAt < gossipInterval || len(all) == 0 {
--- a/internal/dispatch/rosters.go
+++ b/internal/dispatch/rosters.go
@@ -7,15 +7,14 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// askWholeEvery bounds how often one router is asked for its whole roster.
+// rosterRequestInterval bounds the rate of requests for the full roster of one router.
 const rosterRequestInterval = 200 * time.Millisecond
 
-// rosterChange is what others were last told of a router, and with which of this
-// router's changes of its roster it came to be so.
+// rosterChange is the digest of a router's entry and the roster version that set it.
 type rosterChange struct{ digest, version uint64 }
 
-// noteRoster numbers what has changed in the roster, so that each router that it
-// is told to gets what is new to it only: at 300 routers a whole one takes 17 kB.
+// updateRosterVersion assigns a new roster version to the entries that changed, so that other
+// routers can be sent only what is new to them.
 func (s *state) updateRosterVersion() {
 	list := s.roster.Members(s.now)
 	digest := roster.DigestOf(list)
@@ -24,10 +23,10 @@
 	}
 	s.rosterDigest = digest
 	s.rosterVersion++
-	before := s.rosterChanges
+	previous := s.rosterChanges
 	s.rosterChanges = make(map[string]rosterChange, len(list))
 	for _, k := range list {
-		c, ok := before[k.Address]
+		c, ok := previous[k.Address]
 		if d := k.Digest(); !ok || c.digest != d {
 			c = rosterChange{digest: d, version: s.rosterVersion}
 		}
@@ -35,16 +34,15 @@
 	}
 }
 
-// tellRoster tells another router all whom this one knows, and asks it for the
-// same if it is to answer.
+// sendFullRoster sends the whole roster to another router. If answer is set, it also requests
+// that router's roster.
 func (s *state) sendFullRoster(to string, answer bool) {
 	l := s.link(to)
 	l.rosterDigest, l.rosterVersion = s.rosterDigest, s.rosterVersion
 	s.sendRosterEntries(to, &wire.Roster{Answer: answer, Digest: s.rosterDigest}, func(string) bool { return true })
 }
 
-// tellRosterChanges tells another router what it has not been told of the roster
-// that this relay stands by.
+// sendRosterChanges sends another router what changed in the roster since it was last sent.
 func (s *state) sendRosterChanges(to string, l *link) {
 	switch l.rosterDigest {
 	case s.rosterDigest:
@@ -59,18 +57,18 @@
 	}
 }
 
-// sendRoster sends the entries of the roster that are to be in it.
-func (s *state) sendRosterEntries(to string, m *wire.Roster, in func(address string) bool) {
+// sendRosterEntries adds the entries that in selects to a message and sends it.
+func (s *state) sendRosterEntries(to string, m *wire.Roster, include func(address string) bool) {
 	for _, k := range s.roster.Members(s.now) {
-		if in(k.Address) {
+		if include(k.Address) {
 			m.Entries = append(m.Entries, rosterEntry(k))
 		}
 	}
 	s.d.net.Send(to, m)
 }
 
-// probe sends a sign of life to a router that is not heard, and asks whom it
-// knows. Where all talk with all it is told the same; elsewhere relays tell it.
+// probe contacts a router that was not heard from and requests its roster. In a full mesh it
+// also sends the own roster; elsewhere relays do.
 func (s *state) probe(to string) {
 	if s.peerPlan.Mesh {
 		s.sendFullRoster(to, true)
@@ -79,15 +77,15 @@
 	s.d.net.Send(to, &wire.Roster{Answer: true})
 }
 
-// askRoster asks a relay for all whom it knows, since changes of it were lost.
-func (s *state) requestRoster(of string) {
-	l := s.link(of)
+// requestRoster asks a relay for its full roster after changes of it were lost.
+func (s *state) requestRoster(to string) {
+	l := s.link(to)
 	if s.now-l.rosterRequestedAt < rosterRequestInterval {
 		return
 	}
 	l.rosterRequestedAt = s.now
-	s.d.opt.log.Debug("roster_asked", "peer", of)
-	s.d.net.Send(of, &wire.Roster{Answer: true})
+	s.d.opt.log.Debug("roster_asked", "peer", to)
+	s.d.net.Send(to, &wire.Roster{Answer: true})
 }
 
 func rosterEntry(k roster.MemberInfo) wire.RosterEntry {
@@ -97,7 +95,7 @@
 	}
 }
 
-// learnRoster takes in whom another router knows.
+// mergeRoster merges the roster of another router.
 func (s *state) mergeRoster(from string, m *wire.Roster) {
 	list := make([]roster.MemberInfo, 0, len(m.Entries))
 	for _, e := range m.Entries {
@@ -116,8 +114,8 @@
 	s.scheduleMembersUpdate()
 }
 
-// succeed takes a later incarnation if others know this router by one that is not before its
-// own, and so would not hear it.
+// raiseIncarnation adopts a higher incarnation if other routers know this one by the same or a
+// later incarnation and would ignore its messages.
 func (s *state) raiseIncarnation() {
 	if inc := s.roster.RaiseIncarnation(); inc > 0 {
 		s.d.opt.log.Warn("incarnation_raised", "incarnation", inc)
--- a/internal/dispatch/screen.go
+++ b/internal/dispatch/screen.go
@@ -13,8 +13,7 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// screenEvery is the interval at which it is worked out which accounts ask for much
-// more than they can get.
+// admissionInterval is the interval of recomputing which accounts are throttled.
 const admissionInterval = 50 * time.Millisecond
 
 var errOverShare = verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "over-share",
@@ -23,37 +22,37 @@
 var errOverloaded = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, front.CodeOverloaded,
 	"this entry instance has no time for the request; come back as told")
 
-// admission refuses requests of accounts that ask for much more than they can
-// get, in the callers' own tasks: a flood must not cost the decisions of
-// others their time.
+// admission refuses requests of accounts that exceed their share. It runs in the callers'
+// goroutines, so that an overload by one account does not delay the event loop.
 type admission struct {
-	// fractions is which part of an account's requests is tried.
+	// fractions holds the fraction of an account's requests to admit.
 	fractions atomic.Pointer[map[wire.Key]float64]
 	mu        sync.Mutex
-	// plan is what this router has time for, left how many requests more of any
-	// account are let in by it.
+	// plan is what this router has processor time for. budget is how many more requests of
+	// any account it admits.
 	plan   admit.AdmissionPlan
 	budget int
-	// forwards is how many more are handed on.
+	// forwardBudget is how many more requests may be forwarded.
 	forwardBudget float64
-	// tallies are by account since plan was made, at planned.
+	// counters count by account since plannedAt, when plan was made.
 	counters  map[wire.Key]*accountCounter
 	plannedAt time.Duration
-	// refused counts the refused requests since the start.
+	// refused counts refused requests since the start.
 	refused atomic.Int64
 }
 
-// tally counts an account's requests since the last plan.
+// accountCounter counts an account's requests since the last plan.
 type accountCounter struct {
-	// wanted are to be worked on as far as the account's share goes, refused were
+	// withinShare counts requests within the account's share, refused those that were
 	// refused for any reason.
 	withinShare, refused int
-	// tokens is what refused requests asked for.
+	// tokens is the sum over refused requests.
 	tokens float64
-	// forwarded were handed on to another router, where they are counted.
+	// forwarded counts requests that were forwarded to another router, which counts them as
+	// demand.
 	forwarded int
-	// budget is how many more are let in; of what is budget at the next plan, up to one is
-	// kept.
+	// budget is how many more requests are admitted. The next plan keeps up to one of the
+	// rest.
 	budget float64
 }
 
@@ -71,76 +70,74 @@
 	if d.admission.tryAdmit(key, r, within) {
 		return nil
 	}
-	// Balancers send a caller to the same router again: one that comes back soon is
-	// refused again, in the time that is left for work.
-	later := front.RetryDelay(d.opt.clock.Until(r.Deadline))
+	// Load balancers tend to send a caller to the same router again, where an early retry
+	// would be refused too and cost processor time.
+	retryAfter := front.RetryDelay(d.opt.clock.Until(r.Deadline))
 	if !within {
-		return errOverShare.WithRetryAfter(later)
+		return errOverShare.WithRetryAfter(retryAfter)
 	}
-	return errOverloaded.WithRetryAfter(later)
+	return errOverloaded.WithRetryAfter(retryAfter)
 }
 
-// partOf returns the part of an account's requests that is worked on.
-func fractionOf(parts *atomic.Pointer[map[wire.Key]float64], key wire.Key) float64 {
-	m := parts.Load()
+// fractionOf returns the fraction of an account's requests to admit.
+func fractionOf(fractions *atomic.Pointer[map[wire.Key]float64], key wire.Key) float64 {
+	m := fractions.Load()
 	if m == nil {
 		return 1
 	}
-	if part, ok := (*m)[key]; ok {
-		return part
+	if fraction, ok := (*m)[key]; ok {
+		return fraction
 	}
 	return 1
 }
 
-// letIn counts a request, which is within its account's share or not, and reports whether
-// it is worked on. What is beyond the share takes nothing of what this router has time
-// for, so that the lesser of both counts and not their product: else an account whose
-// callers come to few small routers gets a fraction of its share.
-func (sc *admission) tryAdmit(key wire.Key, r front.Request, within bool) bool {
-	sc.mu.Lock()
-	defer sc.mu.Unlock()
-	t, ok := sc.counters[key]
+// tryAdmit counts a request and reports whether it is admitted. Requests beyond the account's
+// share do not use up the router's budget. Otherwise the two limits would multiply, and an
+// account whose callers reach few small routers would get only a fraction of its share.
+func (adm *admission) tryAdmit(key wire.Key, r front.Request, within bool) bool {
+	adm.mu.Lock()
+	defer adm.mu.Unlock()
+	t, ok := adm.counters[key]
 	if !ok {
-		t = &accountCounter{budget: 1 + sc.plan.PerAccount*admissionInterval.Seconds()}
-		sc.counters[key] = t
+		t = &accountCounter{budget: 1 + adm.plan.PerAccount*admissionInterval.Seconds()}
+		adm.counters[key] = t
 	}
 	if within {
 		t.withinShare++
-		if sc.budget > 0 && t.budget >= 1 {
-			sc.budget--
+		if adm.budget > 0 && t.budget >= 1 {
+			adm.budget--
 			t.budget--
 			return true
 		}
 	}
 	t.refused++
 	t.tokens += admit.Cost(r.Prompt, r.Output)
-	sc.refused.Add(1)
+	adm.refused.Add(1)
 	return false
 }
 
-// MayForward implements front.Scheduler. A request that is handed on is counted as asked
-// for by the router that takes it.
+// MayForward implements front.Scheduler. The router that receives a forwarded request counts it
+// as demand.
 func (d *Dispatcher) MayForward(r front.Request) bool {
-	sc := &d.admission
-	sc.mu.Lock()
-	defer sc.mu.Unlock()
-	t, ok := sc.counters[wire.KeyOf(r.Account)]
-	if !ok || sc.forwardBudget < 1 {
+	adm := &d.admission
+	adm.mu.Lock()
+	defer adm.mu.Unlock()
+	t, ok := adm.counters[wire.KeyOf(r.Account)]
+	if !ok || adm.forwardBudget < 1 {
 		return false
 	}
-	sc.forwardBudget--
+	adm.forwardBudget--
 	t.forwarded++
 	t.refused--
 	t.tokens -= admit.Cost(r.Prompt, r.Output)
-	sc.refused.Add(-1)
+	adm.refused.Add(-1)
 	return true
 }
 
-// longestPlan is the longest time for which a plan lets requests in: one that is made
-// later than that is not made up for.
+// maxPlanAge bounds the time for which a late plan grants budget.
 const maxPlanAge = 150 * time.Millisecond
 
-// screenIfDue counts what was refused and works out anew what is to be.
+// updateAdmission reports refusals to the core and recomputes what to admit.
 func (s *state) updateAdmission() {
 	if s.now-s.admissionAt < admissionInterval {
 		return
@@ -155,34 +152,33 @@
 	s.logShares()
 }
 
-// planWork makes a plan of what this router has time for until the next one, and returns
-// what was counted since the last.
+// replan plans the router's processor time until the next plan, and returns the counters since
+// the last one.
 func (s *state) replan() map[wire.Key]*accountCounter {
-	sc := &s.d.admission
-	sc.mu.Lock()
-	defer sc.mu.Unlock()
-	counted, in := sc.counters, s.now-sc.plannedAt
-	came, refused := make(map[wire.Key]int, len(counted)), 0
+	adm := &s.d.admission
+	adm.mu.Lock()
+	defer adm.mu.Unlock()
+	counted, elapsed := adm.counters, s.now-adm.plannedAt
+	demand, refused := make(map[wire.Key]int, len(counted)), 0
 	for key, t := range counted {
-		came[key] = t.withinShare
+		demand[key] = t.withinShare
 		refused += t.refused
 	}
-	sc.plan = s.estimator.Plan(in, came, refused, s.forwardPeers > 0)
-	sc.plannedAt, sc.budget = s.now, sc.plan.Burst
-	sc.forwardBudget = min(sc.forwardBudget, 1) + sc.plan.Forward*min(in, maxPlanAge).Seconds()
-	sc.counters = make(map[wire.Key]*accountCounter, len(counted))
+	adm.plan = s.estimator.Plan(elapsed, demand, refused, s.forwardPeers > 0)
+	adm.plannedAt, adm.budget = s.now, adm.plan.Burst
+	adm.forwardBudget = min(adm.forwardBudget, 1) + adm.plan.Forward*min(elapsed, maxPlanAge).Seconds()
+	adm.counters = make(map[wire.Key]*accountCounter, len(counted))
 	for key, t := range counted {
 		if t.withinShare > 0 || t.budget < 1 {
-			sc.counters[key] = &accountCounter{budget: min(t.budget, 1) + sc.plan.PerAccount*min(in, maxPlanAge).Seconds()}
+			adm.counters[key] = &accountCounter{budget: min(t.budget, 1) + adm.plan.PerAccount*min(elapsed, maxPlanAge).Seconds()}
 		}
 	}
-	s.d.shared.shedding.Store(float64(refused) >= sheddingThreshold*in.Seconds())
+	s.d.shared.shedding.Store(float64(refused) >= sheddingThreshold*elapsed.Seconds())
 	s.publishLoadStats()
 	return counted
 }
 
-// sharesEvery is the interval at which the shares are logged while accounts
-// ask for more than theirs.
+// sharesLogInterval is the interval of log lines while accounts are throttled.
 const sharesLogInterval = time.Second
 
 func (s *state) logShares() {
@@ -196,7 +192,7 @@
 	}
 }
 
-// accountName returns the name of an account in the table, "" if it has none.
+// accountName returns the name of an account in the table, "" if it is not there.
 func (s *state) accountName(key wire.Key) string {
 	t := s.d.Table()
 	if t == nil || key == 0 {
@@ -210,10 +206,10 @@
 	return ""
 }
 
-func storeFractions(parts *atomic.Pointer[map[wire.Key]float64], m map[wire.Key]float64) {
+func storeFractions(fractions *atomic.Pointer[map[wire.Key]float64], m map[wire.Key]float64) {
 	if len(m) == 0 {
-		parts.Store(nil)
+		fractions.Store(nil)
 		return
 	}
-	parts.Store(&m)
+	fractions.Store(&m)
 }
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -12,12 +12,12 @@
 	"github.com/yarrowmast/yarrowmast/pkg/suspect"
 )
 
-// state is what the task owns.
+// state is the state that the event loop owns.
 type state struct {
 	d           *Dispatcher
 	now         time.Duration
 	lastEventAt time.Duration
-	// suspended is for how long the machine had been suspended by lastRun.
+	// suspended is the total time that the machine had been suspended by lastEventAt.
 	suspended time.Duration
 	core      *admit.Core
 	catalog   *catalog.Catalog
@@ -28,64 +28,61 @@
 	estimator *admit.CapacityEstimator
 	nextID    uint64
 	waiting   map[uint64]*attempt
-	// When others were told last, one was told whom this one knows, news were asked for,
-	// the statusAt was renewed, the screen was, the shares were logged, and this router could
-	// not keep up.
+	// Times of the last reports to other routers, roster gossip, update request, status,
+	// admission plan, log line of shares, and overload.
 	reportedAt, gossipedAt, updateRequestedAt, statusAt, admissionAt, sharesLoggedAt, overloadedAt time.Duration
-	// limitedAt is when there was no time for all last, 0 if never.
+	// saturatedAt is when the router last lacked processor time for a request, 0 if never.
 	saturatedAt time.Duration
-	// talk is whom this router tells what, digest that of its roster.
+	// peerPlan lists the routers to exchange reports with. rosterDigest is the digest of
+	// the own roster.
 	peerPlan     roster.Plan
 	rosterDigest uint64
-	// rosterVersion counts the rosterVersion of the roster, changed is with which of them
-	// each router in it came to be told as it is.
+	// rosterVersion counts changes of the roster. rosterChanges holds the version at which
+	// each router last changed.
 	rosterVersion uint64
 	rosterChanges map[string]rosterChange
-	// keys is this router's part in the use of idempotency keys.
-	keys *idempotencyKeys
-	// tokenCounts counts the tokens of requests that run, by their ids, where accounts are tokenCounts
-	// by their weights.
+	keys          *idempotencyKeys
+	// tokenCounts counts the tokens of running requests by id, if accounts are served by
+	// weights.
 	tokenCounts map[uint64]*atomic.Int64
-	// loadReaders ends the readers of loadReaders by the names of backend servers; ownedAt is when was
-	// last looked which are owned.
+	// loadReaders holds the function that stops each load reader, by backend server.
 	loadReaders    map[string]context.CancelFunc
 	ownedCheckedAt time.Duration
-	// ending is the caller's id of the request whose attempt's end is taken in now.
+	// endingRequest is the id of the request whose end is being processed, for logs.
 	endingRequest string
-	// cleared counts ends of requests that are not remembered any more, by the reason.
+	// clearedCrashes counts crashes that are no longer tracked, by reason.
 	clearedCrashes map[suspect.Reason]int64
-	// suspectsAt is when a router was last told of all suspects, suspectsTo how many
-	// were.
+	// suspectsSentAt is when all suspects were last sent, suspectsSent how many times.
 	suspectsSentAt time.Duration
 	suspectsSent   int
-	// untrusted are the backend servers that were last logged as such.
-	untrusted map[string]admit.Ejection
-	// routers are those that the core was last told of, known how many it was told
-	// are known in each zone.
+	// ejected holds the ejected backend servers that were last logged.
+	ejected map[string]admit.Ejection
+	// routers and knownByZone are the routers, and the number of known routers by zone,
+	// that were last passed to the core.
 	routers     []admit.Router
 	knownByZone map[string]int
 	leaving     bool
-	// membersAt is when they were last worked out, membersDue that they are to be anew.
+	// membersDirty is true if membership must be recomputed at a later tick.
 	membersUpdatedAt time.Duration
 	membersDirty     bool
-	// fullUpdate is what was last told to who knew nothing.
+	// fullUpdate is the last full update sent to routers that know nothing.
 	fullUpdate cachedUpdate
-	// closedZones are the availability zones that were closedZones by the last table.
-	closedZones []string
-	unusable    logLimiter
-	// neighbours is how many routers connections may be handed to.
+	// closedZones are the closed availability zones of the last table.
+	closedZones     []string
+	unusableLimiter logLimiter
+	// forwardPeers is the number of routers that connections may be forwarded to.
 	forwardPeers int
-	// routerHostSet are those of the routers, nil until they are looked up after a change.
+	// routerHostSet caches the hosts of the live routers, nil after a change.
 	routerHostSet map[string]bool
 }
 
-// keepPart of the time within which changes are to be in force is for how long
-// backend servers are kept whose entries vanish together.
+// removalGraceFraction of the apply time is how long backend servers stay in use if their
+// entries vanish together.
 const removalGraceFraction = 0.6
 
-// missingPart is the same for those that a platform which came back from a copy does not list:
-// a backend server enters itself again with its next heartbeat, and one that was removed is
-// out in time.
+// unlistedGraceFraction of the apply time is how long backend servers stay in use that a
+// platform restored from a backup does not list. Live servers register again with their next
+// heartbeat.
 const unlistedGraceFraction = 0.75
 
 func newState(d *Dispatcher) *state {
@@ -105,12 +102,12 @@
 		estimator:      admit.NewCapacityEstimator(d.id.Capacity),
 		waiting:        map[uint64]*attempt{},
 	}
-	part := func(p float64) time.Duration { return time.Duration(p * float64(d.opt.applyWithin)) }
-	s.catalog = catalog.New(catalog.WithRemovalGrace(part(removalGraceFraction)), catalog.WithUnlistedGrace(part(unlistedGraceFraction)), catalog.WithOwnAddress(s.isRouterAddress))
+	scale := func(p float64) time.Duration { return time.Duration(p * float64(d.opt.applyWithin)) }
+	s.catalog = catalog.New(catalog.WithRemovalGrace(scale(removalGraceFraction)), catalog.WithUnlistedGrace(scale(unlistedGraceFraction)), catalog.WithOwnAddress(s.isRouterAddress))
 	return s
 }
 
-// pausedAfter is a gap between two steps that means the process was paused.
+// pauseThreshold is the gap between two events that counts as a pause of the process.
 const pauseThreshold = 300 * time.Millisecond
 
 func (s *state) apply(ev event) {
@@ -122,18 +119,18 @@
 	}
 }
 
-// notePause takes in that this router stood still, and logs by how much each clock moved.
+// detectPause detects that the process was paused, and logs by how much each clock advanced.
 func (s *state) detectPause() {
 	gap, suspended := s.now-s.lastEventAt, s.d.opt.clock.Suspended()
 	if gap >= pauseThreshold {
 		s.recordPause(s.lastEventAt)
-		missing := suspended - s.suspended
-		s.d.opt.log.Warn("router_was_paused", "gap_ms", gap.Milliseconds(), "suspended_ms", missing.Milliseconds(), "steady_ms", (gap - missing).Milliseconds())
+		suspendedInGap := suspended - s.suspended
+		s.d.opt.log.Warn("router_was_paused", "gap_ms", gap.Milliseconds(), "suspended_ms", suspendedInGap.Milliseconds(), "steady_ms", (gap - suspendedInGap).Milliseconds())
 	}
 	s.lastEventAt, s.suspended = s.now, suspended
 }
 
-// stoodStill takes in that this router did nothing since a moment.
+// recordPause adjusts the state after a pause that began at from.
 func (s *state) recordPause(from time.Duration) {
 	s.roster.RecordPause(from, s.now)
 	if s.now-from >= maxVouchPause {
@@ -141,7 +138,7 @@
 	}
 }
 
-// step lets the core take an event and does what it says.
+// step passes an event to the core and executes the resulting actions.
 func (s *state) step(ev admit.Event) {
 	for _, a := range s.core.Step(s.now, ev) {
 		switch a := a.(type) {
@@ -179,5 +176,5 @@
 	s.updateAdmission()
 	s.sendReports()
 	s.sendSuspectUpdates()
-	s.publish()
+	s.publishStatus()
 }
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -9,45 +9,43 @@
 	"github.com/yarrowmast/yarrowmast/pkg/suspect"
 )
 
-// statusEvery is the interval at which the status for operators is renewed.
-const statusEvery = 250 * time.Millisecond
+// statusInterval is the interval of status updates.
+const statusInterval = 250 * time.Millisecond
 
-// Status is one router's state, for operators.
+// Status is one router's state for operators.
 type Status struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone"`
 	Incarnation uint64 `json:"incarnation"`
 	// Table is the revision in force, 0 before there is one.
 	Table uint64 `json:"table"`
-	// Epoch and AsOf are the platform's revision up to which all is known, and
-	// VerifiedMillisAgo how long ago that was known to be the newest.
+	// Epoch and AsOf are the platform revision up to which everything is known,
+	// VerifiedMillisAgo the time since it was last confirmed as the newest.
 	Epoch             uint64 `json:"epoch"`
 	AsOf              uint64 `json:"as_of"`
 	VerifiedMillisAgo int64  `json:"verified_ms_ago"`
 	// ReaderRank is the router's position in the order of platform readers, from 0.
 	ReaderRank int64 `json:"reader_turn"`
 	Draining   bool  `json:"draining"`
-	// Live are the routers that live, Relay says that this one is a relay of
-	// its zone.
+	// Live are the live routers. Relay is true if this one is a relay of its zone.
 	Live  []string `json:"live"`
 	Relay bool     `json:"relay"`
 	// Owned are the backend servers that this router owns.
 	Owned []string `json:"owned"`
-	// Untrusted are the backend servers that this router does not trust.
+	// Untrusted are the backend servers that this router ejected for their failures.
 	Untrusted []string `json:"untrusted"`
 	// Leaving are the backend servers that announced their shutdown. BackingOff maps those
 	// that asked this router to pause to the remaining milliseconds.
 	Leaving    []string         `json:"leaving,omitempty"`
 	BackingOff map[string]int64 `json:"resting_ms,omitempty"`
-	// Suspects are the requests with the most backend terminations, SuspectCount is the
-	// number of requests tracked.
+	// Suspects are the requests with the most backend crashes, SuspectCount is the number
+	// of requests tracked.
 	Suspects     []Suspect `json:"suspects,omitempty"`
 	SuspectCount int       `json:"suspect_count"`
-	// CrashesCleared counts the backend terminations that are no longer tracked, by
-	// reason.
+	// CrashesCleared counts the crashes that are no longer tracked, by reason.
 	CrashesCleared map[suspect.Reason]int64 `json:"ends_cleared,omitempty"`
-	// ClosedZones are the availability zones that operators have closed, Warming how
-	// many backend servers warm up.
+	// ClosedZones are the closed availability zones, Warming is the number of backend
+	// servers that warm up.
 	ClosedZones []string `json:"closed_zones"`
 	Warming     int      `json:"warming"`
 	// Unusable lists directory entries that the router cannot use; it may be truncated.
@@ -56,24 +54,23 @@
 	Unusable      []UnusableEntry          `json:"unusable,omitempty"`
 	UnusableCount int                      `json:"unusable_count"`
 	UnusableTotal map[catalog.Reason]int64 `json:"damaged,omitempty"`
-	// Waiting is how many requests wait.
+	// Waiting is the number of waiting requests.
 	Waiting int `json:"waiting"`
-	// Calls is how many calls of the platform were made, 0 if its source does
-	// not tell.
+	// Calls is the number of platform calls, 0 if the source does not count them.
 	Calls int64 `json:"platform_calls"`
-	// SuspendedMillis is for how long the machine was suspended since the start.
+	// SuspendedMillis is how long the machine was suspended since the start.
 	SuspendedMillis int64 `json:"suspended_ms"`
 }
 
-// counter is a Source that counts its calls.
+// callCounter is a Source that counts its calls.
 type callCounter interface{ Calls() int64 }
 
-func (s *state) publish() {
-	if s.now-s.statusAt < statusEvery {
+func (s *state) publishStatus() {
+	if s.now-s.statusAt < statusInterval {
 		return
 	}
 	s.statusAt = s.now
-	s.logTrust()
+	s.logEjections()
 	st := &Status{
 		Name: s.d.id.Name, Zone: s.d.id.Zone, Incarnation: s.d.id.Incarnation, Epoch: s.catalog.AsOf().Epoch, AsOf: s.catalog.AsOf().Number, ReaderRank: s.d.shared.readerRank.Load(),
 		VerifiedMillisAgo: (s.now - time.Duration(s.d.shared.lastVerified.Load())).Milliseconds(),
@@ -82,7 +79,7 @@
 	}
 	st.Unusable, st.UnusableCount = s.unusableEntries()
 	st.UnusableTotal = s.catalog.UnusableTotals()
-	st.Untrusted = slices.Sorted(maps.Keys(s.untrusted))
+	st.Untrusted = slices.Sorted(maps.Keys(s.ejected))
 	s.setBackendNotices(st)
 	st.Suspects, st.SuspectCount = s.suspects()
 	st.CrashesCleared = maps.Clone(s.clearedCrashes)
@@ -95,36 +92,35 @@
 	s.d.shared.status.Store(st)
 }
 
-// publishWords tells which backend servers leave or rest by their own word.
+// setBackendNotices adds the backend servers that announced a shutdown or a pause.
 func (s *state) setBackendNotices(st *Status) {
-	leaving, resting := s.core.Notices()
-	st.Leaving, st.BackingOff = leaving, make(map[string]int64, len(resting))
-	for name, left := range resting {
-		st.BackingOff[name] = left.Milliseconds()
+	leaving, backingOff := s.core.Notices()
+	st.Leaving, st.BackingOff = leaving, make(map[string]int64, len(backingOff))
+	for name, remaining := range backingOff {
+		st.BackingOff[name] = remaining.Milliseconds()
 	}
 }
 
-// logTrust logs which backend servers this router has ceased or begun again to
-// trust.
-func (s *state) logTrust() {
-	now := s.core.Ejected()
-	for name, u := range now {
-		if _, before := s.untrusted[name]; !before {
+// logEjections logs which backend servers were ejected or reinstated since the last call.
+func (s *state) logEjections() {
+	ejected := s.core.Ejected()
+	for name, u := range ejected {
+		if _, before := s.ejected[name]; !before {
 			s.d.opt.log.Warn("backend_untrusted", "backend", name, "failed_part", u.FailureRate, "strikes", u.Count)
 		}
 	}
-	for name := range s.untrusted {
-		if _, still := now[name]; !still {
+	for name := range s.ejected {
+		if _, still := ejected[name]; !still {
 			s.d.opt.log.Info("backend_trusted", "backend", name)
 		}
 	}
-	s.untrusted = now
+	s.ejected = ejected
 }
 
-// State is the router's state for operators.
+// State returns Status for the admin listener.
 func (d *Dispatcher) State() any { return d.Status() }
 
-// Status is the same.
+// Status returns the last published status.
 func (d *Dispatcher) Status() Status {
 	st := Status{Name: d.id.Name, Zone: d.id.Zone, Incarnation: d.id.Incarnation}
 	if p := d.shared.status.Load(); p != nil {
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// allSuspectsEvery is the interval at which one other router in turn is told of all
-	// suspects, so that a message which was lost does no lasting harm.
+	// suspectSyncInterval is the interval of sending all suspects to one router in turn,
+	// which repairs lost messages.
 	suspectSyncInterval = 2 * time.Second
-	// suspectsShown bounds the ends that the status lists.
+	// maxStatusSuspects bounds the crashes in the status.
 	maxStatusSuspects = 32
 )
 
-// tellSuspects tells other routers which requests were at ends of backend servers: what
-// this router saw itself to all it talks with, and a relay passes on what it was told.
+// sendSuspectUpdates sends new crashes to other routers. A router sends what it observed itself
+// to all its peers; a relay also passes on what it received.
 func (s *state) sendSuspectUpdates() {
 	count := s.core.SuspectCount()
 	for _, m := range s.core.TakeSuspectUpdates(s.now, s.peerPlan.Relay) {
@@ -30,16 +30,16 @@
 	}
 }
 
-// tellAllSuspects tells a router of all suspects, as far as one message holds them.
+// sendAllSuspects sends a router the suspects that fit one message.
 func (s *state) sendAllSuspects(to string) {
 	if m := s.core.WorstSuspects(s.now); m != nil {
 		s.d.net.Send(to, m)
 	}
 }
 
-// logSuspected logs that a backend server ended while a request was under way there.
-// What another router tells is logged from the second end on: the first are those of all
-// that was under way there.
+// logCrash logs that a backend server crashed while it ran a request. Crashes that other
+// routers report are logged from the second one of a request on, since most requests with one
+// crash are harmless.
 func (s *state) logCrash(a admit.SuspectAdded) {
 	if a.From != "" && a.Crashes < 2 {
 		return
@@ -47,8 +47,8 @@
 	s.d.opt.log.Info("request_at_end", "request", s.endingRequest, "digest", formatDigest(a.Digest), "backend", a.Backend, "ends", a.Crashes, "from", a.From)
 }
 
-// noteCleared counts ends of a request that are not remembered any more, and logs them
-// where there were several: one is what each request has that was there at an end.
+// recordCleared counts crashes that are no longer tracked. It logs them if the request had
+// several.
 func (s *state) recordCleared(a admit.SuspectCleared) {
 	s.clearedCrashes[a.Reason] += int64(a.Crashes)
 	if a.Crashes > 1 {
@@ -56,7 +56,7 @@
 	}
 }
 
-// logHeldBack logs that a request gets no backend server since servers ended under it.
+// logBlocked logs that a request was refused because of the crashes under it.
 func (s *state) logBlocked(a admit.Refuse) {
 	if w, ok := s.waiting[a.ID]; ok && a.Crashes > 0 {
 		s.d.opt.log.Warn("request_held_back", "request", w.request.ID, "digest", formatDigest(w.digest), "ends", a.Crashes, "code", a.Err.Code,
@@ -66,24 +66,24 @@
 
 func formatDigest(d suspect.Digest) string { return fmt.Sprintf("%016x", uint64(d)) }
 
-// Suspect is a request that was running on backend servers when they terminated.
+// Suspect is a request that was running on backend servers when they crashed.
 type Suspect struct {
-	// Digest identifies the request, Terminations is the number of backend servers that
-	// terminated, LastMillisAgo the age of the last termination.
+	// Digest identifies the request, Crashes is the number of backend servers that crashed,
+	// LastMillisAgo the age of the last crash.
 	Digest        string `json:"digest"`
 	Crashes       int    `json:"ends"`
 	LastMillisAgo int64  `json:"last_ms_ago"`
 }
 
-// suspects lists the worst requests, and counts all that are remembered.
+// suspects lists the requests with the most crashes, and counts all that are tracked.
 func (s *state) suspects() (list []Suspect, count int) {
-	for _, e := range s.core.Suspects(maxStatusSuspects) {
-		if n := len(list); n == 0 || list[n-1].Digest != formatDigest(e.Digest) {
-			list = append(list, Suspect{Digest: formatDigest(e.Digest)})
+	for _, c := range s.core.Suspects(maxStatusSuspects) {
+		if n := len(list); n == 0 || list[n-1].Digest != formatDigest(c.Digest) {
+			list = append(list, Suspect{Digest: formatDigest(c.Digest)})
 		}
 		last := &list[len(list)-1]
 		last.Crashes++
-		last.LastMillisAgo = (s.now - e.At).Milliseconds()
+		last.LastMillisAgo = (s.now - c.At).Milliseconds()
 	}
 	return list, s.core.SuspectCount()
 }
--- a/internal/dispatch/unusable.go
+++ b/internal/dispatch/unusable.go
@@ -10,20 +10,19 @@
 	"github.com/yarrowmast/yarrowmast/pkg/catalog"
 )
 
-// A program that writes entries which cannot be used may do so a hundred times a second:
-// of these, unusableLines are logged in unusableEvery.
+// At most unusableLogLimit unusable entries are logged per unusableLogInterval.
 const (
 	unusableLogLimit    = 10
 	unusableLogInterval = time.Second
 )
 
-// unusableLog bounds the lines on what was published and cannot be used.
+// logLimiter limits the rate of log lines.
 type logLimiter struct {
 	windowStart time.Duration
 	lines       int
 }
 
-// allow reports whether a line allow be written now.
+// allow reports whether a line may be logged now.
 func (l *logLimiter) allow(now time.Duration) bool {
 	if now-l.windowStart >= unusableLogInterval {
 		l.windowStart, l.lines = now, 0
@@ -32,16 +31,16 @@
 	return l.lines <= unusableLogLimit
 }
 
-// logUnusable logs what news held that cannot be used, and why.
+// logUnusable logs the parts of an update that cannot be used.
 func (s *state) logUnusable(n *catalog.Update, from string) {
 	for _, x := range n.Skipped {
-		if x.Key == "" || !s.unusable.allow(s.now) {
+		if x.Key == "" || !s.unusableLimiter.allow(s.now) {
 			continue
 		}
 		s.d.opt.log.Warn("published_unusable", "key", x.Key, "revision", x.Revision, "reason", string(x.Unusable.Reason), "field", x.Unusable.Field)
 	}
 	for _, e := range s.catalog.DrainUnusable() {
-		if s.unusable.allow(s.now) {
+		if s.unusableLimiter.allow(s.now) {
 			s.d.opt.log.Warn("entry_unusable", "backend", e.Backend.Name, "revision", e.Revision,
 				"reason", string(e.Unusable.Reason), "field", e.Unusable.Field, "from", from)
 		}
@@ -49,7 +48,7 @@
 	s.recordNoTableReason(n)
 }
 
-// noteLack keeps why a router that has no table yet has none.
+// recordNoTableReason records why a router has no table yet.
 func (s *state) recordNoTableReason(n *catalog.Update) {
 	if s.catalog.View() != nil {
 		s.d.shared.noTableReason.Store(nil)
@@ -70,17 +69,17 @@
 	Field   string         `json:"field,omitempty"`
 }
 
-// unusableEntries lists the entries that cannot be used, by name, and counts them.
+// unusableEntries returns the unusable entries, sorted by name, and their full number.
 func (s *state) unusableEntries() (list []UnusableEntry, count int) {
-	by, count := s.catalog.Unusable()
-	for _, name := range slices.Sorted(maps.Keys(by)) {
-		list = append(list, UnusableEntry{Backend: name, Reason: by[name].Reason, Field: by[name].Field})
+	reasons, count := s.catalog.Unusable()
+	for _, name := range slices.Sorted(maps.Keys(reasons)) {
+		list = append(list, UnusableEntry{Backend: name, Reason: reasons[name].Reason, Field: reasons[name].Field})
 	}
 	return list, count
 }
 
-// isOwn reports whether an address is one of this router's, or, by its port, one where
-// another router listens for callers or peers: a request sent there would go round.
+// isRouterAddress reports whether an address is one of this router's, or one where another
+// router listens, judged by host and port. Requests sent there would loop.
 func (s *state) isRouterAddress(address string) bool {
 	if slices.Contains(s.d.id.ListenAddresses, address) {
 		return true
@@ -96,7 +95,7 @@
 	})
 }
 
-// routerHosts returns the hosts of the routers that live.
+// routerHosts returns the hosts of the live routers.
 func (s *state) routerHosts() map[string]bool {
 	if s.routerHostSet == nil {
 		s.routerHostSet = map[string]bool{}
--- a/internal/dispatch/uses.go
+++ b/internal/dispatch/uses.go
@@ -8,7 +8,7 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// WithWeights has accounts served by the weights of the table and held to its limits, and
+// WithWeights serves accounts by the weights of the table, enforces its limits and lets
 // requests wait until their deadlines.
 func WithWeights() Option {
 	return func(o *options) {
@@ -17,32 +17,32 @@
 	}
 }
 
-// tellUses tells a router what accounts have used, for a scope.
+// sendUsage sends a router the accounts' usage for a scope.
 func (s *state) sendUsage(to string, t *admit.Snapshot, scope wire.Scope) {
 	if s.d.opt.weighted && scope != wire.ScopeNone {
 		s.d.net.Send(to, &wire.Uses{Scope: scope, Accounts: t.Uses(scope, to)})
 	}
 }
 
-// hearUses takes in what another router tells of what accounts have used.
+// handleUsage processes the accounts' usage sent by another router.
 func (s *state) handleUsage(from peer.Inbound, m *wire.Uses) {
 	if s.acceptsScope(from, m.Scope) {
 		s.step(admit.PeerUsage{From: from.From, Zone: from.Zone, Msg: m})
 	}
 }
 
-// noteProgress counts what requests that run have used so far.
+// reportProgress passes the token counts of running requests to the core.
 func (s *state) reportProgress() {
-	for id, served := range s.tokenCounts {
-		s.step(admit.Progress{ID: id, Tokens: served.Load()})
+	for id, tokens := range s.tokenCounts {
+		s.step(admit.Progress{ID: id, Tokens: tokens.Load()})
 	}
 }
 
-// countFor returns what counts the tokens of a request that starts.
+// newTokenCounter returns the token counter of a request that starts.
 func (s *state) newTokenCounter(id uint64) *atomic.Int64 {
-	served := &atomic.Int64{}
+	tokens := &atomic.Int64{}
 	if s.d.opt.weighted {
-		s.tokenCounts[id] = served
+		s.tokenCounts[id] = tokens
 	}
-	return served
+	return tokens
 }
--- a/internal/dispatch/verified.go
+++ b/internal/dispatch/verified.go
@@ -8,12 +8,12 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// freshBy is by how much later something must be known to be the newest for a relay to
-// pass that on at once.
+// minVerifiedGain is the advance of the verification time from which a relay passes it on at
+// once.
 const minVerifiedGain = 200 * time.Millisecond
 
-// hearVerified takes in that what is known here was known to be the newest at another
-// router, so long ago. A relay passes that on at once to those of other zones.
+// handleVerified records that another router verified the revision known here. A relay passes
+// that on to the relays of other zones.
 func (s *state) handleVerified(from peer.Inbound, m *wire.State) {
 	before := time.Duration(s.d.shared.lastVerified.Load())
 	at := m.Echo.At() + time.Duration(m.Held-m.Age)*time.Millisecond
@@ -23,7 +23,7 @@
 	}
 }
 
-// verifiedEvent says that this router has made sure that it knows the newest.
+// verifiedEvent reports that this router verified its revision.
 type verifiedEvent struct{}
 
 func (verifiedEvent) apply(s *state) {
@@ -34,10 +34,8 @@
 	s.sendVerified(s.peerPlan.RemoteRelays)
 }
 
-// tellVerified tells some routers at once how long ago this one knew what is newest.
-// They, and those that they tell, would else read the platform themselves: at 100
-// routers three tellings take longer than a router may go without knowing (31.8 calls a
-// second of a quiet fleet, BenchmarkQuietFleet).
+// sendVerified sends routers the time of the last verification without waiting for the next
+// report. Otherwise they would read the platform themselves before the reports reach them.
 func (s *state) sendVerified(list []string) {
 	for _, to := range list {
 		m := s.stateMessage(to)
@@ -46,14 +44,14 @@
 	}
 }
 
-// tellKnown tells all with whom this router talks how much it knows.
+// broadcastVerified sends the revision and its verification time to all peers.
 func (s *state) broadcastVerified() {
 	for _, list := range [][]string{s.peerPlan.Peers, s.peerPlan.Served, s.peerPlan.RemoteRelays} {
 		s.sendVerified(list)
 	}
 }
 
-// stateFor returns what this router tells another one besides flows and copies.
+// stateMessage returns a report without flows and prefix copies.
 func (s *state) stateMessage(to string) *wire.State {
 	l := s.link(to)
 	asOf := s.catalog.AsOf()
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -350,7 +350,7 @@
 		r.d.recordVerified(now)
 		r.step(verifiedEvent{})
 	case due:
-		r.step(updateEvent{Update: catalog.Update{AsOf: w.shown, Table: w.tableAt(w.shown)}, at: now})
+		r.step(updateEvent{Update: catalog.Update{AsOf: w.shown, Table: w.tableAt(w.shown)}, readAt: now})
 	case watches && w.shown > asOf:
 		r.step(updateEvent{Update: catalog.Update{After: asOf, AsOf: w.shown, Table: w.tableAt(w.shown)}})
 	}
--- a/internal/dispatch/zones.go
+++ b/internal/dispatch/zones.go
@@ -7,8 +7,8 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// noteZones logs which availability zones operators have closed and opened since the
-// last table, and marks of zones in which no backend server is listed.
+// logZoneChanges logs the availability zones that were closed or opened since the last table.
+// Closing a zone without backend servers is logged as a warning.
 func (s *state) logZoneChanges(v *table.Table, from string) {
 	closed := v.ClosedZones()
 	for _, zone := range closed {
