--- a/internal/dispatch/follow.go
+++ b/internal/dispatch/follow.go
@@ -93,7 +93,7 @@
 }
 
 // errEpochChanged ends a watch on a revision of an earlier epoch.
-var errEpochChanged = errors.New("dispatch: the platform came back from a copy")
+var errEpochChanged = errors.New("dispatch: the platform was restored from a backup")
 
 // watchOnce waits for changes after a revision. It reads everything if the platform no longer
 // keeps them.
@@ -191,7 +191,7 @@
 		}
 		d.warnIfOlder("verify", asOf, revision)
 		if revision.Before(asOf) {
-			return fmt.Errorf("dispatch: the platform answers with revision %d of epoch %d, which is older than what is known; see to it that it does not go back", revision.Number, revision.Epoch)
+			return fmt.Errorf("dispatch: the platform returned revision %d of epoch %d, which is older than the known revision; check whether an old backup was restored", revision.Number, revision.Epoch)
 		}
 		if revision == asOf {
 			d.recordVerified(start)
@@ -306,7 +306,7 @@
 }
 
 // errNoData explains why a router without a table is not ready.
-var errNoData = errors.New("dispatch: neither the platform nor another router has been read yet")
+var errNoData = errors.New("dispatch: no data received yet from the platform or another router")
 
 // Ready returns why the router cannot serve callers, nil if it can.
 func (d *Dispatcher) Ready(context.Context) error {
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -84,6 +84,6 @@
 	if last := d.shared.loadStats.Load(); last != nil {
 		p = *last
 	}
-	p.RefusedEarly = d.admission.refused.Load()
+	p.RefusedEarly = d.admission.refusedTotal.Load()
 	return p
 }
--- a/internal/dispatch/screen.go
+++ b/internal/dispatch/screen.go
@@ -37,8 +37,8 @@
 	// counters count by account since plannedAt, when plan was made.
 	counters  map[wire.Key]*accountCounter
 	plannedAt time.Duration
-	// refused counts refused requests since the start.
-	refused atomic.Int64
+	// refusedTotal counts refused requests since the start.
+	refusedTotal atomic.Int64
 }
 
 // accountCounter counts an account's requests since the last plan.
@@ -112,7 +112,7 @@
 	}
 	t.refused++
 	t.tokens += admit.Cost(r.Prompt, r.Output)
-	adm.refused.Add(1)
+	adm.refusedTotal.Add(1)
 	return false
 }
 
@@ -130,7 +130,7 @@
 	t.forwarded++
 	t.refused--
 	t.tokens -= admit.Cost(r.Prompt, r.Output)
-	adm.refused.Add(-1)
+	adm.refusedTotal.Add(-1)
 	return true
 }
 
--- a/internal/dispatch/screen_test.go
+++ b/internal/dispatch/screen_test.go
@@ -98,8 +98,8 @@
 	if handed != forwardBudget || got.forwarded != forwardBudget || got.refused != asks-let-forwardBudget || got.tokens != 10*(asks-let-forwardBudget) {
 		t.Errorf("%d handed on, counted %+v", handed, *got)
 	}
-	if d.admission.refused.Load() != asks-let-forwardBudget {
-		t.Errorf("%d counted as refused", d.admission.refused.Load())
+	if d.admission.refusedTotal.Load() != asks-let-forwardBudget {
+		t.Errorf("%d counted as refused", d.admission.refusedTotal.Load())
 	}
 	if d.MayForward(front.Request{Account: "nobody"}) {
 		t.Error("a request that was not screened is handed on")
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -103,18 +103,18 @@
 
 // logEjections logs which backend servers were ejected or reinstated since the last call.
 func (s *state) logEjections() {
-	ejected := s.core.Ejected()
-	for name, u := range ejected {
+	current := s.core.Ejected()
+	for name, u := range current {
 		if _, before := s.ejected[name]; !before {
 			s.d.opt.log.Warn("backend_untrusted", "backend", name, "failed_part", u.FailureRate, "strikes", u.Count)
 		}
 	}
 	for name := range s.ejected {
-		if _, still := ejected[name]; !still {
+		if _, still := current[name]; !still {
 			s.d.opt.log.Info("backend_trusted", "backend", name)
 		}
 	}
-	s.ejected = ejected
+	s.ejected = current
 }
 
 // State returns Status for the admin listener.
--- a/internal/dispatch/unusable.go
+++ b/internal/dispatch/unusable.go
@@ -56,7 +56,7 @@
 	}
 	for _, x := range n.Skipped {
 		if x.Key != "" {
-			err := fmt.Errorf("dispatch: %s at revision %d cannot be used (%s %s); publish a good one", x.Key, x.Revision, x.Unusable.Reason, x.Unusable.Field)
+			err := fmt.Errorf("dispatch: %s at revision %d cannot be used (%s %s); publish a corrected value", x.Key, x.Revision, x.Unusable.Reason, x.Unusable.Field)
 			s.d.shared.noTableReason.Store(&err)
 		}
 	}
