--- a/internal/dispatch/acquire_test.go
+++ b/internal/dispatch/acquire_test.go
@@ -10,21 +10,21 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// TestBlamed looks that a router which is late itself puts no silence down to a
-// backend server, but failures that were told.
-func TestBlamed(t *testing.T) {
+// TestAdjustResult guards against blaming a backend server for a stall that the router's own
+// delay may have caused.
+func TestAdjustResult(t *testing.T) {
 	tests := map[string]struct {
 		result admit.Result
 		late   bool
 		want   admit.Result
 	}{
-		"silent, in time":    {admit.Stalled, false, admit.Stalled},
-		"silent, late":       {admit.Stalled, true, admit.Unknown},
-		"unreached, in time": {admit.Unreachable, false, admit.Unreachable},
-		"unreached, late":    {admit.Unreachable, true, admit.Unknown},
-		"failed, late":       {admit.Failed, true, admit.Failed},
-		"broken, late":       {admit.Broken, true, admit.Broken},
-		"answered, late":     {admit.Answered, true, admit.Answered},
+		"stalled, not saturated":     {admit.Stalled, false, admit.Stalled},
+		"stalled, saturated":         {admit.Stalled, true, admit.Unknown},
+		"unreachable, not saturated": {admit.Unreachable, false, admit.Unreachable},
+		"unreachable, saturated":     {admit.Unreachable, true, admit.Unknown},
+		"failed, saturated":          {admit.Failed, true, admit.Failed},
+		"broken, saturated":          {admit.Broken, true, admit.Broken},
+		"answered, saturated":        {admit.Answered, true, admit.Answered},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestWasCut looks which ends of attempts are ends of their backend servers.
-func TestWasCut(t *testing.T) {
+// TestWasDisconnected checks which outcomes count as a connection closed by the backend server.
+func TestWasDisconnected(t *testing.T) {
 	usage := func(code string, sent, silent bool) front.Usage {
 		return front.Usage{Sent: sent, Stalled: silent, Error: verdict.New(verdict.PhaseStream, http.StatusBadGateway, code, "")}
 	}
@@ -44,42 +44,42 @@
 		usage front.Usage
 		want  bool
 	}{
-		"answered":                     {front.Usage{Sent: true, Status: http.StatusOK}, false},
-		"broken off before the answer": {usage("backend-broke", true, false), true},
-		"broken off in the answer":     {usage("answer-cut", true, false), true},
-		"closed here, for its silence": {usage("answer-cut", true, true), false},
-		"nothing was sent":             {usage("backend-broke", false, false), false},
-		"the caller left":              {usage("caller-gone", true, false), false},
-		"the deadline passed":          {usage("deadline", true, false), false},
-		"not its own answer":           {usage("bad-answer", true, false), false},
+		"answered":                         {front.Usage{Sent: true, Status: http.StatusOK}, false},
+		"disconnected before the response": {usage("backend-broke", true, false), true},
+		"disconnected during the response": {usage("answer-cut", true, false), true},
+		"closed after a stall":             {usage("answer-cut", true, true), false},
+		"nothing was sent":                 {usage("backend-broke", false, false), false},
+		"client disconnected":              {usage("caller-gone", true, false), false},
+		"deadline exceeded":                {usage("deadline", true, false), false},
+		"invalid response":                 {usage("bad-answer", true, false), false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			if got := wasDisconnected(tc.usage); got != tc.want {
-				t.Errorf("cut: %v", got)
+				t.Errorf("wasDisconnected() = %v", got)
 			}
 		})
 	}
 }
 
-// TestConnectionsPart divides the connections that a backend server takes among the
-// routers that are known.
-func TestConnectionsPart(t *testing.T) {
+// TestConnectionShare checks how a backend server's connection limit is divided among the known
+// routers.
+func TestConnectionShare(t *testing.T) {
 	tests := map[string]struct {
-		takes   int
+		limit   int
 		routers int64
 		want    int
 	}{
-		"not stated":            {0, 62, 0},
-		"one router":            {430, 1, 215},
-		"nobody counted yet":    {430, 0, 215},
-		"many routers":          {430, 62, 3},
-		"more than connections": {100, 300, 1},
+		"not stated":              {0, 62, 0},
+		"one router":              {430, 1, 215},
+		"routers not counted yet": {430, 0, 215},
+		"many routers":            {430, 62, 3},
+		"more than connections":   {100, 300, 1},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			d := &Dispatcher{}
-			v := &table.Table{Services: []table.ServiceRow{{Name: "desk", MaxConnections: tc.takes}}}
+			v := &table.Table{Services: []table.ServiceRow{{Name: "desk", MaxConnections: tc.limit}}}
 			v.Index()
 			d.shared.table.Store(v)
 			d.shared.routerCount.Store(tc.routers)
--- a/internal/dispatch/fleet_model_test.go
+++ b/internal/dispatch/fleet_model_test.go
@@ -12,14 +12,13 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// fleetModel runs the tasks' states of many routers on one simulated clock, with a
-// network between them. Nothing in it waits for real time.
+// fleetModel runs many routers on a simulated clock and network.
 type fleetModel struct {
 	now     time.Duration
 	routers map[string]*modelRouter
-	// order are the routers' addresses.
+	// order holds the routers' addresses.
 	order []string
-	// under way are the messages by when they arrive, in the order of sending.
+	// underWay holds the messages in flight by arrival time, in sending order.
 	underWay map[time.Duration][]modelMessage
 	messages int
 }
@@ -36,15 +35,14 @@
 }
 
 const (
-	modelStep = 2 * time.Millisecond
-	modelLink = 2 * time.Millisecond
+	modelStep      = 2 * time.Millisecond
+	modelLinkDelay = 2 * time.Millisecond
 )
 
-// Send implements Transport.
 func (r *modelRouter) SetIncarnation(uint64) {}
 
 func (r *modelRouter) Send(to string, msg any) {
-	at := r.model.now + modelLink
+	at := r.model.now + modelLinkDelay
 	r.model.underWay[at] = append(r.model.underWay[at], modelMessage{r.address, to, msg})
 	r.model.messages++
 }
@@ -52,13 +50,13 @@
 func (r *modelRouter) Inbox() <-chan peer.Inbound { return nil }
 func (r *modelRouter) Losses() <-chan peer.Lost   { return nil }
 
-// newFleetModel starts routers in three zones, of which the first three are seeds, that
-// know the table and ten backend servers each.
+// newFleetModel starts routers in three zones that know the table and ten backend servers per
+// router. The first three routers are seeds.
 func newFleetModel(routers int, within time.Duration) *fleetModel {
 	f := &fleetModel{now: clockStart, routers: map[string]*modelRouter{}, underWay: map[time.Duration][]modelMessage{}}
-	news := catalog.Update{AsOf: 5, Table: &table.Table{Revision: 1}}
+	update := catalog.Update{AsOf: 5, Table: &table.Table{Revision: 1}}
 	for i := range 10 * routers {
-		news.Servers = append(news.Servers, catalog.Server{Revision: 2, Backend: table.Backend{
+		update.Servers = append(update.Servers, catalog.Server{Revision: 2, Backend: table.Backend{
 			Name: fmt.Sprintf("i-%d", i), Zone: fmt.Sprint("z", i%3), Models: []string{"reader"}, Slots: 8, Mark: table.Serving,
 		}})
 	}
@@ -66,17 +64,17 @@
 	for i := range routers {
 		r := &modelRouter{model: f, address: address(i)}
 		id := Identity{Name: fmt.Sprint("r-", i), Address: r.address, Zone: fmt.Sprint("z", i%3), Incarnation: uint64(i + 1), Capacity: 0.2}
-		d := New(id, noSource{}, r, WithSeeds([]string{address(0), address(1), address(2)}), WithApplyWithin(within), WithLogger(slog.New(slog.DiscardHandler)))
+		d := New(id, emptySource{}, r, WithSeeds([]string{address(0), address(1), address(2)}), WithApplyWithin(within), WithLogger(slog.New(slog.DiscardHandler)))
 		r.state = newState(d)
 		r.state.now = f.now
-		updateEvent{Update: news}.apply(r.state)
+		updateEvent{Update: update}.apply(r.state)
 		f.routers[r.address] = r
 		f.order = append(f.order, r.address)
 	}
 	return f
 }
 
-// run lets time pass, and calls each before every step.
+// run advances the clock and calls each before every step.
 func (f *fleetModel) run(until time.Duration, each func()) {
 	for ; f.now < until; f.now += modelStep {
 		each()
@@ -100,27 +98,25 @@
 	messageEvent{peer.Inbound{From: m.from, Name: from.d.id.Name, Zone: from.d.id.Zone, Inc: from.d.id.Incarnation, Msg: m.msg}}.apply(to.state)
 }
 
-// reader returns the router whose turn it is to read the platform.
+// reader returns the router of reader rank 0.
 func (f *fleetModel) reader() *modelRouter {
 	i := slices.IndexFunc(f.order, func(address string) bool { return f.routers[address].d.shared.readerRank.Load() == 0 })
 	return f.routers[f.order[i]]
 }
 
-// TestFewReadThePlatform has the first reader of a fleet make sure at its intervals that
-// it knows the newest: all others hear of that before it is their turn to read. With
-// tellings alone, and what is heard counted from the last message the other way, routers
-// of a fleet of 99 went without for up to 1.65 s, and 28 times it was their turn.
-func TestFewReadThePlatform(t *testing.T) {
+// TestOnlyFirstReaderReadsPlatform guards against platform reads by more than the first reader
+// of a quiet fleet: its verification must reach all others before their own is due.
+func TestOnlyFirstReaderReadsPlatform(t *testing.T) {
 	const within = 3 * time.Second
 	for _, routers := range []int{10, 31, 99} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			f := newFleetModel(routers, within)
 			f.run(clockStart+4*time.Second, func() {})
-			read, late, worst := time.Duration(0), 0, time.Duration(0)
+			reads, extraReads, worst := time.Duration(0), 0, time.Duration(0)
 			f.run(clockStart+12*time.Second, func() {
 				r := f.reader()
 				if r.d.verifyDue(f.now) <= 0 {
-					read++
+					reads++
 					r.d.recordVerified(f.now)
 					r.now = f.now
 					verifiedEvent{}.apply(r.state)
@@ -132,17 +128,17 @@
 					x := f.routers[address]
 					worst = max(worst, f.now-time.Duration(x.d.shared.lastVerified.Load()))
 					if x != r && x.d.verifyDue(f.now) <= 0 {
-						late++
+						extraReads++
 					}
 				}
 			})
-			if late > 0 {
-				t.Errorf("%d times another router would have read the platform too; longest without knowing %v", late, worst)
+			if extraReads > 0 {
+				t.Errorf("%d extra platform reads by other routers; longest time without verification %v", extraReads, worst)
 			}
-			if read == 0 || read > 20 {
-				t.Errorf("the reader read %d times in 8 s", read)
+			if reads == 0 || reads > 20 {
+				t.Errorf("the reader read the platform %d times in 8 s", reads)
 			}
-			t.Logf("longest without knowing %v, %d messages", worst, f.messages)
+			t.Logf("longest time without verification %v, %d messages", worst, f.messages)
 		})
 	}
 }
--- a/internal/dispatch/flood_test.go
+++ b/internal/dispatch/flood_test.go
@@ -12,141 +12,114 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// What happened. Symptom: for six seconds one account, whose requests waited all
-// through, began 2.4 of 21.7 million units of the work that it asked for; the best
-// served account began 5.6.
-//
-// Sequence: all of the account's callers in a zone come to the first router in the
-// balancer's order that is ready, a fifth of a core. It falls behind, refuses as
-// overloaded, and says that it is not ready; after two failed checks the callers
-// reach the next small router, which falls behind as well; the two take turns, while
-// 50 other routers use a tenth of their time.
-//
-// Cause: an overloaded router told those whom it refused to come back after 60 to
-// 120 ms, for "another router will most likely be reached". The balancer sends them
-// to the same one. There they are refused again, and their refusals take the time
-// that was left for work.
-//
-// What settled it, one second each of that router's log:
-//
-//	router_work processor_ms=136 late_ms=78 part=0.02 requests=1784 refused_unseen=1746 stream_events=1938
-//	router_work processor_ms=117 late_ms=1 part=0.90 requests=706 refused_unseen=538 stream_events=1732
-//
-// It works on 38 requests in the one and on 168 in the other. With all refused callers told to come back late, the account was served
-// 6,105 times in place of 3,652 in 24 s, and none got less than half of its share.
-
-// What the routers of the flood have and what requests cost them, by least squares over
-// 315 such lines, times 1.4 for what the machine counts beyond processor_ms.
+// Processor times of the modelled routers.
 const (
-	// floodProcessor is a fifth of a core, less 25 to 35 ms a second that it takes
-	// whatever comes.
-	floodProcessor = 0.145
-	refusalCost    = 55 * time.Microsecond
-	// startCost is for a request that is worked on until it is sent, eventsCost for
-	// passing its events on, which takes eventsTime.
-	startCost  = 320 * time.Microsecond
-	eventsCost = 270 * time.Microsecond
-	eventsTime = 1200 * time.Millisecond
+	// smallRouterCores is a fifth of a core minus the baseline use.
+	smallRouterCores = 0.145
+	refusalCost      = 55 * time.Microsecond
+	// startCost is the cost of a request until it is sent, streamCost that of forwarding
+	// its events during streamDuration.
+	startCost      = 320 * time.Microsecond
+	streamCost     = 270 * time.Microsecond
+	streamDuration = 1200 * time.Millisecond
 )
 
 const (
-	floodStep = 10 * time.Millisecond
-	// checkEvery is the balancer's interval; it takes a router out after two checks
-	// that fail.
-	checkEvery = time.Second
-	// acceptsPart is the part of what is left of its time for which a caller at the
-	// most waits before it comes back.
-	acceptsPart = 3
-	// Of five callers two have shortestLeft, the others longestLeft.
-	shortestLeft, longestLeft = 3 * time.Second, 12 * time.Second
+	loadStep = 10 * time.Millisecond
+	// healthCheckInterval is the load balancer's interval. Two failed checks remove a
+	// router.
+	healthCheckInterval = time.Second
+	// A caller waits at most 1/retryFraction of its remaining time before it retries.
+	retryFraction = 3
+	// Two in five callers have shortDeadline, the others longDeadline.
+	shortDeadline, longDeadline = 3 * time.Second, 12 * time.Second
 )
 
-// loadedRouter is a router with a part of a processor, of which a balancer asks whether it
-// is ready.
+// loadedRouter is a router with a limited processor share behind a load balancer that checks
+// its health.
 type loadedRouter struct {
 	s *state
-	// backlog is the work that waits, in processor time; later is what each coming
-	// step adds to it for requests that were begun.
-	backlog time.Duration
-	later   []time.Duration
-	misses  int
-	out     bool
+	// backlog is the pending work in processor time. scheduled is the work that each coming
+	// step adds for started requests.
+	backlog      time.Duration
+	scheduled    []time.Duration
+	failedChecks int
+	removed      bool
 }
 
 func newLoadedRouter(s *state) loadedRouter {
-	return loadedRouter{s: s, later: make([]time.Duration, eventsTime/floodStep)}
+	return loadedRouter{s: s, scheduled: make([]time.Duration, streamDuration/loadStep)}
 }
 
-// workOff lets a step pass.
-func (r *loadedRouter) workOff(processor float64) {
-	r.backlog += r.later[0]
-	r.later = append(r.later[1:], 0)
-	r.backlog = max(0, r.backlog-time.Duration(processor*float64(floodStep)))
+// advance works off the backlog for one step.
+func (r *loadedRouter) advance(cores float64) {
+	r.backlog += r.scheduled[0]
+	r.scheduled = append(r.scheduled[1:], 0)
+	r.backlog = max(0, r.backlog-time.Duration(cores*float64(loadStep)))
 }
 
-// spendLater adds what passing on an answer costs.
-func (r *loadedRouter) spendLater(cost time.Duration) {
-	for i := range r.later {
-		r.later[i] += cost / time.Duration(len(r.later))
+// scheduleWork spreads the cost of forwarding a response over the coming steps.
+func (r *loadedRouter) scheduleWork(cost time.Duration) {
+	for i := range r.scheduled {
+		r.scheduled[i] += cost / time.Duration(len(r.scheduled))
 	}
 }
 
-// checkReady has the balancer ask where that is due.
-func (r *loadedRouter) checkReady(now time.Duration) {
+// healthCheck runs the load balancer's check if it is due.
+func (r *loadedRouter) healthCheck(now time.Duration) {
 	switch {
-	case now%checkEvery != 0:
+	case now%healthCheckInterval != 0:
 	case !r.s.d.Overloaded():
-		r.misses, r.out = 0, false
+		r.failedChecks, r.removed = 0, false
 	default:
-		r.misses++
-		r.out = r.out || r.misses >= 2
+		r.failedChecks++
+		r.removed = r.removed || r.failedChecks >= 2
 	}
 }
 
-// floodedRouter is a router whose share of an account is set.
-type floodedRouter struct {
+// throttlingRouter is a loadedRouter with a fixed admit fraction for one account.
+type throttlingRouter struct {
 	loadedRouter
-	begun int
+	started int
 }
 
-func newFloodedRouter(key wire.Key, share float64) *floodedRouter {
+func newThrottlingRouter(key wire.Key, share float64) *throttlingRouter {
 	d := &Dispatcher{opt: options{clock: clock.System(), log: slog.New(slog.DiscardHandler), random: rand.Float64}}
 	d.admission = newAdmission()
 	storeFractions(&d.admission.fractions, map[wire.Key]float64{key: share})
-	return &floodedRouter{loadedRouter: newLoadedRouter(&state{d: d, core: admit.New(admit.Router{Address: "r"}), estimator: admit.NewCapacityEstimator(smallCores)})}
+	return &throttlingRouter{loadedRouter: newLoadedRouter(&state{d: d, core: admit.New(admit.Router{Address: "r"}), estimator: admit.NewCapacityEstimator(smallCores)})}
 }
 
-// step lets time pass.
-func (r *floodedRouter) step(now time.Duration) {
-	r.workOff(floodProcessor)
+// step advances the router by one step.
+func (r *throttlingRouter) step(now time.Duration) {
+	r.advance(smallRouterCores)
 	if now%(50*time.Millisecond) == 0 {
 		r.s.now = time.Hour + now
-		r.s.observeDelay(time.Duration(float64(r.backlog) / floodProcessor))
+		r.s.observeDelay(time.Duration(float64(r.backlog) / smallRouterCores))
 		r.s.replan()
 	}
-	r.checkReady(now)
+	r.healthCheck(now)
 }
 
-// take takes a request in or returns when its caller is to come back.
-func (r *floodedRouter) take(q front.Request) (comeBack time.Duration) {
+// handleRequest handles a request and returns its Retry-After, 0 if it was admitted.
+func (r *throttlingRouter) handleRequest(q front.Request) (retryAfter time.Duration) {
 	if err := r.s.d.CheckAdmission(q); err != nil {
 		r.backlog += refusalCost
 		return err.RetryAfter
 	}
 	r.backlog += startCost
-	r.spendLater(eventsCost)
-	r.begun++
+	r.scheduleWork(streamCost)
+	r.started++
 	return 0
 }
 
-// TestFloodAtSmallRouters has the callers of one account, who ask for three times its
-// share for some seconds, come by a balancer to the first router that is ready, and
-// come back once where they are refused. Where they came back at once, 0.29, 0.19 and
-// 0.17 of their requests were begun.
-func TestFloodAtSmallRouters(t *testing.T) {
+// TestOverloadAtSmallRouters guards against early retries that use up the processor time of an
+// overloaded router. The callers of one account send three times its share, reach the first
+// healthy router, and retry once.
+func TestOverloadAtSmallRouters(t *testing.T) {
 	tests := map[string]struct {
-		lasts time.Duration
-		least float64
+		duration time.Duration
+		want     float64
 	}{
 		"2 s": {2 * time.Second, 0.5},
 		"4 s": {4 * time.Second, 0.3},
@@ -154,47 +127,46 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := begunOfFlood(900, tc.lasts, 1/3.0); got < tc.least {
-				t.Errorf("%.2f of the requests are begun, want %.2f", got, tc.least)
+			if got := startedFraction(900, tc.duration, 1/3.0); got < tc.want {
+				t.Errorf("%.2f of the requests started, want at least %.2f", got, tc.want)
 			}
 		})
 	}
 }
 
-// begunOfFlood returns which part of a flood's requests is begun, at the latest when
-// their callers have come back.
-func begunOfFlood(perSecond int, lasts time.Duration, share float64) float64 {
-	begun, asked := 0, 0
+// startedFraction returns the fraction of the requests that start, including retries.
+func startedFraction(perSecond int, duration time.Duration, share float64) float64 {
+	started, sent := 0, 0
 	key := wire.KeyOf("moka")
-	var routers []*floodedRouter
+	var routers []*throttlingRouter
 	for range 4 {
-		routers = append(routers, newFloodedRouter(key, share))
+		routers = append(routers, newThrottlingRouter(key, share))
 	}
-	runs := lasts + longestLeft
-	returning := make([]int, runs/floodStep+1)
-	for now := time.Duration(0); now < runs; now += floodStep {
+	runs := duration + longDeadline
+	retriesByStep := make([]int, runs/loadStep+1)
+	for now := time.Duration(0); now < runs; now += loadStep {
 		first := routers[0]
 		for _, r := range routers {
-			if !r.out {
+			if !r.removed {
 				first = r
 				break
 			}
 		}
-		come := 0
-		if now < lasts {
-			come = perSecond * int(floodStep) / int(time.Second)
+		arrivals := 0
+		if now < duration {
+			arrivals = perSecond * int(loadStep) / int(time.Second)
 		} else {
 			storeFractions(&first.s.d.admission.fractions, nil)
 		}
-		asked += come
-		for n := range come + returning[now/floodStep] {
-			left := longestLeft
+		sent += arrivals
+		for n := range arrivals + retriesByStep[now/loadStep] {
+			remaining := longDeadline
 			if n%5 < 2 {
-				left = shortestLeft
+				remaining = shortDeadline
 			}
-			back := first.take(front.Request{Account: "moka", Prompt: 1000, Deadline: time.Now().Add(left)})
-			if at := now + min(back, left/acceptsPart); back > 0 && n < come && at < runs {
-				returning[at/floodStep]++
+			delay := first.handleRequest(front.Request{Account: "moka", Prompt: 1000, Deadline: time.Now().Add(remaining)})
+			if at := now + min(delay, remaining/retryFraction); delay > 0 && n < arrivals && at < runs {
+				retriesByStep[at/loadStep]++
 			}
 		}
 		for _, r := range routers {
@@ -202,7 +174,7 @@
 		}
 	}
 	for _, r := range routers {
-		begun += r.begun
+		started += r.started
 	}
-	return float64(begun) / float64(asked)
+	return float64(started) / float64(sent)
 }
--- a/internal/dispatch/follow_test.go
+++ b/internal/dispatch/follow_test.go
@@ -7,48 +7,47 @@
 	"github.com/yarrowmast/yarrowmast/pkg/catalog"
 )
 
-// TestWhoReadsAtTheStart looks in how long a router that has just started reads
-// the platform itself.
-func TestWhoReadsAtTheStart(t *testing.T) {
+// TestFirstReadDelay checks when a router that has just started reads the platform itself.
+func TestFirstReadDelay(t *testing.T) {
 	const self, other, within = "10.0.0.1:7", "10.0.0.2:7", 4 * time.Second
 	tests := map[string]struct {
 		seeds []string
 		asOf  uint64
 		want  time.Duration
 	}{
-		"without seeds":                  {nil, 0, 0},
-		"a seed":                         {[]string{other, self}, 0, 0},
-		"no seed":                        {[]string{other}, 0, nonSeedReadDelay},
-		"no seed, told by another":       {[]string{other}, 9, time.Duration(firstVerifyFraction * float64(within))},
-		"a seed that was told by others": {[]string{self, other}, 9, time.Duration(firstVerifyFraction * float64(within))},
+		"without seeds":                      {nil, 0, 0},
+		"a seed":                             {[]string{other, self}, 0, 0},
+		"no seed":                            {[]string{other}, 0, nonSeedReadDelay},
+		"no seed, updated by another router": {[]string{other}, 9, time.Duration(firstVerifyFraction * float64(within))},
+		"seed, updated by another router":    {[]string{self, other}, 9, time.Duration(firstVerifyFraction * float64(within))},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			d := New(Identity{Name: "a", Address: self, Zone: "x"}, noSource{}, &sentNet{}, WithSeeds(tc.seeds), WithApplyWithin(within))
+			d := New(Identity{Name: "a", Address: self, Zone: "x"}, emptySource{}, &recordingTransport{}, WithSeeds(tc.seeds), WithApplyWithin(within))
 			d.shared.asOf.Store(&catalog.Revision{Number: tc.asOf})
 			if got := d.verifyDue(clockStart); got != tc.want {
-				t.Errorf("it reads in %v, want %v", got, tc.want)
+				t.Errorf("first read in %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestPausesGrowWithTheTurn sums the calls that a fleet makes each second while
-// the platform cannot be read: they may not grow as its routers do.
-func TestPausesGrowWithTheTurn(t *testing.T) {
+// TestRetryDelayGrowsWithRank guards against a call rate that grows with the fleet while the
+// platform is down.
+func TestRetryDelayGrowsWithRank(t *testing.T) {
 	calls := func(routers int) float64 {
-		d := New(Identity{}, noSource{}, &sentNet{})
+		d := New(Identity{}, emptySource{}, &recordingTransport{})
 		sum := 0.0
-		for turn := range routers {
-			d.shared.readerRank.Store(int64(turn))
+		for rank := range routers {
+			d.shared.readerRank.Store(int64(rank))
 			sum += 1 / d.retryDelay(time.Second).Seconds()
 		}
 		return sum
 	}
 	if got := calls(4); got < 3 {
-		t.Errorf("4 routers make %.1f calls a second", got)
+		t.Errorf("4 routers make %.1f calls per second, want at least 3", got)
 	}
 	if got := calls(300); got > 50 {
-		t.Errorf("300 routers make %.1f calls a second", got)
+		t.Errorf("300 routers make %.1f calls per second, want at most 50", got)
 	}
 }
--- a/internal/dispatch/news_test.go
+++ b/internal/dispatch/news_test.go
@@ -10,18 +10,17 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// TestAllIsCollectedOnce has many routers that know nothing ask for all at once, as they
-// do at a start of the fleet: they are told the same message, until something is
-// published or some time has passed.
-func TestAllIsCollectedOnce(t *testing.T) {
-	n := &sentNet{}
-	s := newState(New(Identity{Name: "a", Address: "10.0.1.1:7", Zone: "x", Incarnation: 1}, noSource{}, n))
+// TestFullUpdateIsCached guards against building a full update for each of many routers that
+// start together. The same message is reused until something is published or it expires.
+func TestFullUpdateIsCached(t *testing.T) {
+	n := &recordingTransport{}
+	s := newState(New(Identity{Name: "a", Address: "10.0.1.1:7", Zone: "x", Incarnation: 1}, emptySource{}, n))
 	s.now = time.Hour
-	publish := func(asOf uint64, news catalog.Update) {
-		news.AsOf = asOf
-		updateEvent{Update: news}.apply(s)
+	publish := func(asOf uint64, update catalog.Update) {
+		update.AsOf = asOf
+		updateEvent{Update: update}.apply(s)
 	}
-	ask := func(after uint64) *wire.News {
+	request := func(after uint64) *wire.News {
 		n.sent = nil
 		messageEvent{peer.Inbound{From: "10.0.1.2:7", Name: "b", Zone: "x", Inc: 1, Msg: &wire.NewsAsk{After: after}}}.apply(s)
 		for _, msg := range n.sent {
@@ -29,27 +28,27 @@
 				return m
 			}
 		}
-		t.Fatal("no news")
+		t.Fatal("no update sent")
 		return nil
 	}
 	publish(5, catalog.Update{Table: &table.Table{Revision: 1}})
-	first := ask(0)
-	if second := ask(0); second != first {
-		t.Error("collected anew for the next one")
+	first := request(0)
+	if second := request(0); second != first {
+		t.Error("the full update was built again")
 	}
-	if m := ask(4); m != first {
-		t.Errorf("who may know of what went before this one knew anything is told a part: %+v", m)
+	if m := request(4); m != first {
+		t.Errorf("partial update from before this router's first revision: %+v", m)
 	}
 	publish(6, catalog.Update{After: 5, Zones: []catalog.Zone{{Revision: 6, Name: "y", Closed: true}}})
-	later := ask(0)
+	later := request(0)
 	if later == first || later.AsOf != 6 || len(later.Zones) != 1 {
-		t.Errorf("after a change it tells %+v", later)
+		t.Errorf("update after a change: %+v", later)
 	}
-	if m := ask(5); m == later || m.After != 5 {
-		t.Errorf("who lacks the last change is told all: %+v", m)
+	if m := request(5); m == later || m.After != 5 {
+		t.Errorf("full update for a router that lacks one change: %+v", m)
 	}
 	s.now += fullUpdateTTL
-	if m := ask(0); m == later {
-		t.Error("told as it was long ago")
+	if m := request(0); m == later {
+		t.Error("expired update was reused")
 	}
 }
--- a/internal/dispatch/session_test.go
+++ b/internal/dispatch/session_test.go
@@ -15,7 +15,7 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// session is a whole session: what the world is and what happens when.
+// session is a scripted simulation run.
 type session struct {
 	Shows    string         `yaml:"shows"`
 	Zones    map[string]int `yaml:"zones"`
@@ -25,8 +25,8 @@
 	Steps    []sessionStep `yaml:"steps"`
 }
 
-// sessionStep is one event: request, cut, join, pause, wake, stop, start,
-// stale, fresh, mark, edit or drain.
+// sessionStep is one event: request, cut, join, pause, wake, stop, start, stale, fresh, mark,
+// edit or drain.
 type sessionStep struct {
 	At     time.Duration `yaml:"at"`
 	Do     string        `yaml:"do"`
@@ -40,7 +40,7 @@
 	Wait   time.Duration `yaml:"wait"`
 }
 
-func (w *world) do(s sessionStep, n int) {
+func (sim *simulation) do(s sessionStep, n int) {
 	switch s.Do {
 	case "request":
 		wait := s.Wait
@@ -48,77 +48,76 @@
 			wait = time.Minute
 		}
 		for i := range max(1, s.Count) {
-			w.request(fmt.Sprintf("r%d.%d", n, i+1), s.On, s.Who, s.Model, s.Key, s.Tokens, wait)
+			sim.request(fmt.Sprintf("r%d.%d", n, i+1), s.On, s.Who, s.Model, s.Key, s.Tokens, wait)
 		}
 	case "cut":
-		w.cut[s.On] = true
+		sim.cut[s.On] = true
 	case "join":
-		w.cut[s.On] = false
+		sim.cut[s.On] = false
 	case "pause":
-		w.paused[s.On] = true
+		sim.paused[s.On] = true
 	case "wake":
-		w.paused[s.On] = false
+		sim.paused[s.On] = false
 	case "stop":
-		if w.routers[s.On].up {
-			w.stop(s.On)
+		if sim.routers[s.On].up {
+			sim.stop(s.On)
 		}
 	case "start":
-		if !w.routers[s.On].up {
-			w.start(s.On)
+		if !sim.routers[s.On].up {
+			sim.start(s.On)
 		}
 	case "stale":
-		w.stale = true
+		sim.stale = true
 	case "fresh":
-		w.stale, w.shown = false, w.rev
+		sim.stale, sim.visibleRevision = false, sim.rev
 	case "mark":
-		w.mark(s.On, s.Mark)
+		sim.mark(s.On, s.Mark)
 	case "edit":
-		w.table.Accounts[0].Weight++
-		w.publish()
+		sim.table.Accounts[0].Weight++
+		sim.publish()
 	case "drain":
-		w.routers[s.On].d.Drain()
-		w.routers[s.On].step(drainEvent{})
+		sim.routers[s.On].d.Drain()
+		sim.routers[s.On].step(drainEvent{})
 	default:
 		panic("unknown step " + s.Do)
 	}
 	if s.Do != "request" {
-		w.note("-- %s %s%s", s.Do, s.On, s.Mark)
+		sim.logf("-- %s %s%s", s.Do, s.On, s.Mark)
 	}
 }
 
-// play runs a session and returns its world.
-func (s *session) play() *world {
-	w := newWorld(s.Zones, s.Servers, s.Accounts)
+// play runs a session and returns the simulation.
+func (s *session) play() *simulation {
+	sim := newSimulation(s.Zones, s.Servers, s.Accounts)
 	sort.SliceStable(s.Steps, func(i, j int) bool { return s.Steps[i].At < s.Steps[j].At })
 	next := 0
-	w.run(simStart+s.Until, func() {
-		for next < len(s.Steps) && simStart+s.Steps[next].At <= w.now {
-			w.do(s.Steps[next], next)
+	sim.run(simStart+s.Until, func() {
+		for next < len(s.Steps) && simStart+s.Steps[next].At <= sim.now {
+			sim.do(s.Steps[next], next)
 			next++
 		}
 	})
-	w.close()
-	return w
+	sim.close()
+	return sim
 }
 
-func (w *world) summary() string {
+func (sim *simulation) summary() string {
 	var b strings.Builder
-	for _, line := range w.log {
+	for _, line := range sim.log {
 		b.WriteString(line + "\n")
 	}
-	for _, name := range sortedNames(w.servers) {
-		s := w.servers[name]
-		fmt.Fprintf(&b, "%s: at most %d of %d slots in use, %d at the end\n", name, s.most, s.row.Slots, s.inFlight)
+	for _, name := range sortedNames(sim.servers) {
+		s := sim.servers[name]
+		fmt.Fprintf(&b, "%s: at most %d of %d slots in use, %d at the end\n", name, s.maxInFlight, s.row.Slots, s.inFlight)
 	}
-	for _, x := range w.broken {
+	for _, x := range sim.violations {
 		fmt.Fprintf(&b, "BROKEN %s\n", x)
 	}
 	return b.String()
 }
 
-// TestSessions plays each session in testdata/sessions and compares all that
-// the routers decided with the golden file beside it. Run with -update after
-// a change that is meant to change decisions, and read the difference.
+// TestSessions runs each session in testdata/sessions and compares the routers' decisions with
+// the golden file. After an intended change, run it with -update and review the diff.
 func TestSessions(t *testing.T) {
 	files, err := filepath.Glob("testdata/sessions/*.yaml")
 	if err != nil || len(files) == 0 {
@@ -136,11 +135,11 @@
 			if err := yaml.Load(data, s, yaml.WithKnownFields()); err != nil {
 				t.Fatal(err)
 			}
-			w := s.play()
-			for _, x := range w.broken {
+			sim := s.play()
+			for _, x := range sim.violations {
 				t.Errorf("%s: %s", s.Shows, x)
 			}
-			g.Assert(t, name, []byte(w.summary()))
+			g.Assert(t, name, []byte(sim.summary()))
 		})
 	}
 }
--- a/internal/dispatch/suspects_test.go
+++ b/internal/dispatch/suspects_test.go
@@ -15,10 +15,10 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// oneServer is a platform with a backend server of one slot.
-type oneServer struct{}
+// singleServerSource is a platform with one backend server of one slot.
+type singleServerSource struct{}
 
-func (oneServer) Read(context.Context) (catalog.Update, error) {
+func (singleServerSource) Read(context.Context) (catalog.Update, error) {
 	t := &table.Table{Revision: 1, Services: []table.ServiceRow{{Name: "reader", Engine: true}}}
 	t.Index()
 	return catalog.Update{AsOf: 5, Table: t, Servers: []catalog.Server{
@@ -26,62 +26,60 @@
 	}}, nil
 }
 
-func (oneServer) Watch(ctx context.Context, _ catalog.Revision, _ time.Duration) (catalog.Update, error) {
+func (singleServerSource) Watch(ctx context.Context, _ catalog.Revision, _ time.Duration) (catalog.Update, error) {
 	<-ctx.Done()
 	return catalog.Update{}, ctx.Err()
 }
 
-func (oneServer) Revision(context.Context) (catalog.Revision, error) {
+func (singleServerSource) Revision(context.Context) (catalog.Revision, error) {
 	return catalog.Revision{Number: 5}, nil
 }
 
-// oneWire hands what a test puts in to the dispatcher.
-type oneWire struct{ in chan peer.Inbound }
+// testTransport delivers the messages of a test to the dispatcher.
+type testTransport struct{ in chan peer.Inbound }
 
-func (oneWire) Send(string, any)             {}
-func (oneWire) SetIncarnation(uint64)        {}
-func (w oneWire) Inbox() <-chan peer.Inbound { return w.in }
-func (oneWire) Losses() <-chan peer.Lost     { return nil }
-func (w oneWire) handleState(from string, msg any) {
+func (testTransport) Send(string, any)             {}
+func (testTransport) SetIncarnation(uint64)        {}
+func (w testTransport) Inbox() <-chan peer.Inbound { return w.in }
+func (testTransport) Losses() <-chan peer.Lost     { return nil }
+func (w testTransport) receive(from string, msg any) {
 	w.in <- peer.Inbound{From: from, Name: from, Zone: "b", Inc: 1, Msg: msg}
 }
 
-// generous bounds waits for things that must happen.
-const generous = 15 * time.Second
+// testTimeout bounds waits for events that must happen.
+const testTimeout = 15 * time.Second
 
-// startOne starts a dispatcher before a backend server of one slot.
-func startOne(t *testing.T, opts ...Option) (*Dispatcher, oneWire) {
+// startDispatcher starts a dispatcher with one backend server of one slot.
+func startDispatcher(t *testing.T, opts ...Option) (*Dispatcher, testTransport) {
 	t.Helper()
-	net := oneWire{make(chan peer.Inbound)}
-	d := New(Identity{Name: "r-0", Address: "r-0", Zone: "a", Incarnation: 1}, oneServer{}, net, append(opts, WithLogger(slog.New(slog.DiscardHandler)))...)
+	net := testTransport{make(chan peer.Inbound)}
+	d := New(Identity{Name: "r-0", Address: "r-0", Zone: "a", Incarnation: 1}, singleServerSource{}, net, append(opts, WithLogger(slog.New(slog.DiscardHandler)))...)
 	d.Start()
 	t.Cleanup(d.Close)
-	for end := time.Now().Add(generous); d.Table() == nil; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); d.Table() == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("there is no table")
+			t.Fatal("no table before the timeout")
 		}
 	}
 	return d, net
 }
 
-// TestWaitingRequestIsKnown: thirty tries of a request waited for a place when the first
-// backend server ended under another try of it. What waited had no identity, so that it was
-// placed like any other when a place was free, one after the other, and as many servers ended
-// as found a place; only what came later was refused.
-func TestWaitingRequestIsKnown(t *testing.T) {
+// TestWaitingRequestIsBlockedAfterCrashes guards against starting a waiting request after
+// backend servers crashed under other attempts of it.
+func TestWaitingRequestIsBlockedAfterCrashes(t *testing.T) {
 	const digest = 7
-	d, net := startOne(t)
-	ask := func(digest uint64) front.Request {
-		return front.Request{Model: "reader", Deadline: time.Now().Add(generous), Digest: func() uint64 { return digest }}
+	d, net := startDispatcher(t)
+	request := func(digest uint64) front.Request {
+		return front.Request{Model: "reader", Deadline: time.Now().Add(testTimeout), Digest: func() uint64 { return digest }}
 	}
-	first, err := d.Acquire(t.Context(), ask(1))
+	first, err := d.Acquire(t.Context(), request(1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	waited := make(chan error, 1)
+	blocked := make(chan error, 1)
 	go func() {
-		_, err := d.Acquire(t.Context(), ask(digest))
-		waited <- err
+		_, err := d.Acquire(t.Context(), request(digest))
+		blocked <- err
 	}()
 	for d.Status().Waiting == 0 {
 		time.Sleep(time.Millisecond)
@@ -90,15 +88,15 @@
 	for i := range 3 {
 		ends = append(ends, wire.SuspectEnd{Digest: digest, Server: wire.Key(100 + i), AgoMillis: int64(1000 * i)})
 	}
-	net.handleState("r-1", &wire.Suspects{Ends: ends})
+	net.receive("r-1", &wire.Suspects{Ends: ends})
 	d.Release(first, front.Usage{Sent: true, Status: 200})
 	select {
-	case err := <-waited:
+	case err := <-blocked:
 		var e *verdict.Error
 		if !errors.As(err, &e) || e.Code != "ends-backends" {
-			t.Errorf("it ends with %v, want a refusal for the ends of servers", err)
+			t.Errorf("Acquire returned %v, want code ends-backends", err)
 		}
-	case <-time.After(generous):
-		t.Error("it goes on waiting")
+	case <-time.After(testTimeout):
+		t.Error("the request still waits")
 	}
 }
--- a/internal/dispatch/unusable_test.go
+++ b/internal/dispatch/unusable_test.go
@@ -13,12 +13,12 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// TestWriterOfDamagedEntries has a program write a hundred damaged entries a second: a
-// few are logged, all are counted, and the router serves on by the others.
-func TestWriterOfDamagedEntries(t *testing.T) {
+// TestUnusableEntriesAreLogLimited checks that frequent unusable entries are all counted but
+// only some are logged, and that usable entries stay in force.
+func TestUnusableEntriesAreLogLimited(t *testing.T) {
 	const perSecond, seconds = 100, 5
 	var log bytes.Buffer
-	d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Incarnation: 1}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.NewTextHandler(&log, nil))))
+	d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Incarnation: 1}, emptySource{}, &recordingTransport{}, WithLogger(slog.New(slog.NewTextHandler(&log, nil))))
 	s := newState(d)
 	good := catalog.Server{Revision: 2, Backend: table.Backend{Name: "good", Zone: "a", Address: "10.0.0.9:80", Models: []string{"reader"}, Slots: 8, Mark: table.Serving}}
 	updateEvent{Update: catalog.Update{AsOf: 2, Table: &table.Table{Revision: 1}, Servers: []catalog.Server{good}}}.apply(s)
@@ -29,22 +29,22 @@
 	}
 	lines := strings.Count(log.String(), "msg=entry_unusable")
 	if lines < seconds || lines > unusableLogLimit*(seconds+1) {
-		t.Errorf("%d lines", lines)
+		t.Errorf("%d log lines", lines)
 	}
 	if !strings.Contains(log.String(), "backend=bad revision=3 reason=wrong-type field=slots") {
-		t.Error("no line has the entry, its revision and the reason")
+		t.Error("no log line names the entry, its revision and the reason")
 	}
 	list, count := s.unusableEntries()
 	if count != 1 || len(list) != 1 || list[0] != (UnusableEntry{"bad", "wrong-type", "slots"}) || s.catalog.UnusableTotals()["wrong-type"] != perSecond*seconds {
-		t.Errorf("%v of %d, counted %v", list, count, s.catalog.UnusableTotals())
+		t.Errorf("unusable entries %v of %d, totals %v", list, count, s.catalog.UnusableTotals())
 	}
 	if b, ok := d.Table().Backend("good"); !ok || b.Mark != table.Serving || s.catalog.AsOf().Number != 2+perSecond*seconds {
-		t.Errorf("the good entry is %+v as of %d", b, s.catalog.AsOf().Number)
+		t.Errorf("the usable entry is %+v as of %d", b, s.catalog.AsOf().Number)
 	}
 }
 
-// TestOwnAddresses looks which addresses of entries lead back to a router.
-func TestOwnAddresses(t *testing.T) {
+// TestIsRouterAddress checks which addresses of directory entries lead back to a router.
+func TestIsRouterAddress(t *testing.T) {
 	tests := map[string]struct {
 		address string
 		want    bool
@@ -57,7 +57,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Incarnation: 1, ListenAddresses: []string{"10.0.0.1:8000", "10.0.0.1:7"}}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.DiscardHandler)))
+			d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Incarnation: 1, ListenAddresses: []string{"10.0.0.1:8000", "10.0.0.1:7"}}, emptySource{}, &recordingTransport{}, WithLogger(slog.New(slog.DiscardHandler)))
 			s := newState(d)
 			s.roster.Observe(s.now, roster.Member{Address: "10.0.0.2:7", Name: "q", Zone: "a", Inc: 1})
 			if got := s.isRouterAddress(tc.address); got != tc.want {
@@ -67,16 +67,16 @@
 	}
 }
 
-// TestLacksATable has a router start with a table that cannot be used: it says so, and
-// takes the first good one.
-func TestLacksATable(t *testing.T) {
-	d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Incarnation: 1}, noSource{}, &sentNet{}, WithLogger(slog.New(slog.DiscardHandler)))
+// TestNotReadyReasonWithoutTable checks that a router without a usable table reports why, and
+// applies the first usable one.
+func TestNotReadyReasonWithoutTable(t *testing.T) {
+	d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Incarnation: 1}, emptySource{}, &recordingTransport{}, WithLogger(slog.New(slog.DiscardHandler)))
 	s := newState(d)
 	skipped := catalog.Skipped{Key: "config", Revision: 4, Unusable: catalog.Unusable{Reason: catalog.Unreadable, Field: "unexpected end"}}
 	updateEvent{Update: catalog.Update{AsOf: 4, Skipped: []catalog.Skipped{skipped}}}.apply(s)
 	err := d.Ready(t.Context())
 	if err == nil || !strings.Contains(fmt.Sprint(err), "config at revision 4 cannot be used") {
-		t.Errorf("not ready because of %v", err)
+		t.Errorf("not ready: %v", err)
 	}
 	updateEvent{Update: catalog.Update{After: 4, AsOf: 5, Table: &table.Table{Revision: 5}}}.apply(s)
 	if err := d.Ready(t.Context()); err != nil {
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -19,34 +19,34 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// world runs the states of several routers on a simulated clock, network,
-// platform and backend servers, in one goroutine and always in one order.
-type world struct {
+// simulation runs several routers deterministically on a simulated clock, network, platform and
+// set of backend servers, in one goroutine.
+type simulation struct {
 	now     time.Duration
 	routers map[string]*simRouter
 	names   []string
-	// links are what is under way, by its moment and then by its order.
-	links   []delivery
-	order   uint64
-	cut     map[string]bool // a zone or a router that is cut off
-	paused  map[string]bool
-	servers map[string]*simServer
-	table   table.Table
-	rev     uint64
-	stale   bool
-	shown   uint64
-	past    map[uint64]table.Table
-	asks    map[string]*simAsk
-	log     []string
-	broken  []string
-	highest map[string]uint64
-	granted map[string]string // idempotency key to the request that may run
-	used    map[string]int64  // idempotency key to its first use
-	// faultAt is the last moment at which anything was cut, paused, down or
-	// stale: promises with a time count from there.
+	// links are the messages in flight, sorted by delivery time and then by sequence.
+	links            []delivery
+	order            uint64
+	cut              map[string]bool // a zone or a router that is cut off
+	paused           map[string]bool
+	servers          map[string]*simServer
+	table            table.Table
+	rev              uint64
+	stale            bool
+	visibleRevision  uint64
+	tablesByRevision map[uint64]table.Table
+	requests         map[string]*simRequest
+	log              []string
+	violations       []string
+	highestRevision  map[string]uint64
+	keyGrantedTo     map[string]string // idempotency key to the request that may run
+	keyFirstUse      map[string]int64  // idempotency key to its first use
+	// faultAt is the last time at which anything was cut off, paused, down or stale. Bounds
+	// on recovery count from there.
 	faultAt time.Duration
-	// splitAt is the last moment at which a router was cut off from its own
-	// zone, so that a pool could have two owners.
+	// splitAt is the last time at which a router was cut off from its own zone, so that a
+	// pool could have two owners.
 	splitAt time.Duration
 }
 
@@ -60,20 +60,20 @@
 }
 
 type simServer struct {
-	row      table.Backend
-	inFlight int
-	most     int
-	closedAt time.Duration
+	row         table.Backend
+	inFlight    int
+	maxInFlight int
+	closedAt    time.Duration
 }
 
 type simRouter struct {
-	w    *world
+	sim  *simulation
 	name string
 	zone string
 	up   bool
 	inc  uint64
-	// startedAt is when it was started, toldAt when it last ran.
-	startedAt, lastAt time.Duration
+	// startedAt is when the router was started, lastRunAt when it last ran.
+	startedAt, lastRunAt time.Duration
 	*state
 	out map[string]*simLink
 	in  map[string]*wire.Decoder
@@ -84,7 +84,7 @@
 	enc *wire.Encoder
 }
 
-type simAsk struct {
+type simRequest struct {
 	id      string
 	router  string
 	req     front.Request
@@ -93,52 +93,52 @@
 	attempt *attempt
 	until   time.Duration
 	claim   chan error
-	// grant is the number of its attempt at the router.
+	// grant is the id of the attempt at the router.
 	grant   uint64
 	done    bool
 	started bool
 	server  string
 	inc     uint64
-	// ends is when the backend server will have served all tokens.
+	// ends is when the backend server will have sent all tokens.
 	ends time.Duration
 }
 
 const (
-	simStep    = 10 * time.Millisecond
-	nearDelay  = time.Millisecond
-	farDelay   = 3 * time.Millisecond
-	tokenEvery = 5 * time.Millisecond
-	simStart   = 1_700_000_000 * time.Second
+	simStep        = 10 * time.Millisecond
+	sameZoneDelay  = time.Millisecond
+	crossZoneDelay = 3 * time.Millisecond
+	tokenInterval  = 5 * time.Millisecond
+	simStart       = 1_700_000_000 * time.Second
 )
 
-func newWorld(zones map[string]int, servers []table.Backend, accounts []table.Account) *world {
-	w := &world{
+func newSimulation(zones map[string]int, servers []table.Backend, accounts []table.Account) *simulation {
+	sim := &simulation{
 		now: simStart, routers: map[string]*simRouter{}, cut: map[string]bool{}, paused: map[string]bool{},
-		servers: map[string]*simServer{}, past: map[uint64]table.Table{}, asks: map[string]*simAsk{},
-		highest: map[string]uint64{}, granted: map[string]string{}, used: map[string]int64{},
+		servers: map[string]*simServer{}, tablesByRevision: map[uint64]table.Table{}, requests: map[string]*simRequest{},
+		highestRevision: map[string]uint64{}, keyGrantedTo: map[string]string{}, keyFirstUse: map[string]int64{},
 	}
 	for i := range accounts {
 		sum := sha256.Sum256([]byte(accounts[i].Name))
 		accounts[i].KeySHA256 = hex.EncodeToString(sum[:])
 		accounts[i].Limits.Queued = table.DefaultQueued
 	}
-	w.table = table.Table{Accounts: accounts, Backends: servers}
+	sim.table = table.Table{Accounts: accounts, Backends: servers}
 	for _, s := range servers {
-		w.servers[s.Name] = &simServer{row: s}
+		sim.servers[s.Name] = &simServer{row: s}
 	}
-	w.publish()
+	sim.publish()
 	for _, z := range sortedNames(zones) {
 		for i := range zones[z] {
 			name := fmt.Sprintf("%s-%d", z, i)
-			w.routers[name] = &simRouter{w: w, name: name, zone: z}
-			w.names = append(w.names, name)
+			sim.routers[name] = &simRouter{sim: sim, name: name, zone: z}
+			sim.names = append(sim.names, name)
 		}
 	}
-	sort.Strings(w.names)
-	for _, n := range w.names {
-		w.start(n)
+	sort.Strings(sim.names)
+	for _, n := range sim.names {
+		sim.start(n)
 	}
-	return w
+	return sim
 }
 
 func sortedNames[V any](m map[string]V) []string {
@@ -150,70 +150,70 @@
 	return names
 }
 
-func (w *world) note(format string, args ...any) {
-	at := (w.now - simStart).Milliseconds()
-	w.log = append(w.log, fmt.Sprintf("%6d ms  %s", at, fmt.Sprintf(format, args...)))
+func (sim *simulation) logf(format string, args ...any) {
+	at := (sim.now - simStart).Milliseconds()
+	sim.log = append(sim.log, fmt.Sprintf("%6d ms  %s", at, fmt.Sprintf(format, args...)))
 }
 
-func (w *world) fail(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("at %s: ", w.now-simStart)+fmt.Sprintf(format, args...))
+func (sim *simulation) addViolation(format string, args ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf("at %s: ", sim.now-simStart)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) publish() {
-	w.rev++
-	t := w.table
-	t.Backends = append([]table.Backend(nil), w.table.Backends...)
-	t.Accounts = append([]table.Account(nil), w.table.Accounts...)
-	w.past[w.rev] = t
-	if !w.stale {
-		w.shown = w.rev
+func (sim *simulation) publish() {
+	sim.rev++
+	t := sim.table
+	t.Backends = append([]table.Backend(nil), sim.table.Backends...)
+	t.Accounts = append([]table.Account(nil), sim.table.Accounts...)
+	sim.tablesByRevision[sim.rev] = t
+	if !sim.stale {
+		sim.visibleRevision = sim.rev
 	}
 }
 
-// start starts a router without memory, as a replaced instance.
-func (w *world) start(name string) {
-	r := w.routers[name]
+// start starts a router with empty state.
+func (sim *simulation) start(name string) {
+	r := sim.routers[name]
 	r.up = true
-	r.inc = uint64(w.now)
+	r.inc = uint64(sim.now)
 	r.out = map[string]*simLink{}
 	r.in = map[string]*wire.Decoder{}
-	r.startedAt, r.lastAt = w.now, w.now
-	d := New(Identity{Name: name, Address: name, Zone: r.zone, Incarnation: r.inc}, noSource{}, r,
+	r.startedAt, r.lastRunAt = sim.now, sim.now
+	d := New(Identity{Name: name, Address: name, Zone: r.zone, Incarnation: r.inc}, emptySource{}, r,
 		WithLogger(slog.New(slog.DiscardHandler)), WithWeights())
-	d.opt.wallClock = func() time.Time { return time.Unix(0, int64(w.now)) }
+	d.opt.wallClock = func() time.Time { return time.Unix(0, int64(sim.now)) }
 	r.state = newState(d)
-	r.step(instancesEvent{platform.Instances{Revision: 1, Instances: w.list()}})
+	r.step(instancesEvent{platform.Instances{Revision: 1, Instances: sim.list()}})
 }
 
-func (w *world) stop(name string) {
-	r := w.routers[name]
+func (sim *simulation) stop(name string) {
+	r := sim.routers[name]
 	r.up = false
 	r.d.Close()
-	for _, n := range w.names {
-		w.breakLink(delivery{from: n, to: name, inc: w.routers[n].inc})
+	for _, n := range sim.names {
+		sim.dropConnection(delivery{from: n, to: name, inc: sim.routers[n].inc})
 	}
-	for _, id := range sortedNames(w.asks) {
-		a := w.asks[id]
+	for _, id := range sortedNames(sim.requests) {
+		a := sim.requests[id]
 		if a.router != name || a.done {
 			continue
 		}
 		a.done = true
-		w.note("%s: %s ends with its router", name, id)
+		sim.logf("%s: %s ends with its router", name, id)
 		if a.started {
-			w.servers[a.server].inFlight--
+			sim.servers[a.server].inFlight--
 		}
 	}
 }
 
-func (w *world) list() []platform.Instance {
+func (sim *simulation) list() []platform.Instance {
 	var list []platform.Instance
-	for _, n := range w.names {
-		list = append(list, platform.Instance{Name: n, Zone: w.routers[n].zone, Address: n, State: "live"})
+	for _, n := range sim.names {
+		list = append(list, platform.Instance{Name: n, Zone: sim.routers[n].zone, Address: n, State: "live"})
 	}
 	return list
 }
 
-// Send implements Transport: the message goes through the real codec.
+// Messages pass through the real codec.
 func (r *simRouter) SetIncarnation(uint64) {}
 
 func (r *simRouter) Send(to string, msg any) {
@@ -227,14 +227,14 @@
 	if err := l.enc.Append(msg); err != nil {
 		panic(err)
 	}
-	delay := nearDelay
-	other, known := r.w.routers[to]
+	delay := sameZoneDelay
+	other, known := r.sim.routers[to]
 	if known && other.zone != r.zone {
-		delay = farDelay
+		delay = crossZoneDelay
 	}
-	r.w.order++
-	r.w.links = append(r.w.links, delivery{
-		at: r.w.now + delay, order: r.w.order, from: r.name, to: to, zone: r.zone, inc: r.inc,
+	r.sim.order++
+	r.sim.links = append(r.sim.links, delivery{
+		at: r.sim.now + delay, order: r.sim.order, from: r.name, to: to, zone: r.zone, inc: r.inc,
 		payload: append([]byte(nil), l.buf.Bytes()...),
 	})
 }
@@ -242,18 +242,18 @@
 func (r *simRouter) Inbox() <-chan peer.Inbound { return nil }
 func (r *simRouter) Losses() <-chan peer.Lost   { return nil }
 
-// step has a router take in an event, as its task would.
+// step applies an event like the event loop.
 func (r *simRouter) step(ev event) {
 	s := r.state
-	s.now = clockStart + r.w.now - r.startedAt
-	if r.w.now-r.lastAt >= pauseThreshold {
-		s.recordPause(clockStart + r.lastAt - r.startedAt)
+	s.now = clockStart + r.sim.now - r.startedAt
+	if r.sim.now-r.lastRunAt >= pauseThreshold {
+		s.recordPause(clockStart + r.lastRunAt - r.startedAt)
 	}
-	r.lastAt = r.w.now
+	r.lastRunAt = r.sim.now
 	before := r.tableRevision()
 	ev.apply(s)
 	if rev := r.tableRevision(); rev != before {
-		r.w.inForce(r, rev)
+		r.sim.checkTableRevision(r, rev)
 	}
 }
 
@@ -264,69 +264,69 @@
 	return 0
 }
 
-// inForce checks that no router goes back to an older table.
-func (w *world) inForce(r *simRouter, rev uint64) {
-	w.note("%s: table %d in force", r.name, rev)
-	if rev < w.highest[r.name] {
-		w.fail("%s went back from table %d to %d", r.name, w.highest[r.name], rev)
+// checkTableRevision asserts that no router returns to an older table.
+func (sim *simulation) checkTableRevision(r *simRouter, rev uint64) {
+	sim.logf("%s: table %d in force", r.name, rev)
+	if rev < sim.highestRevision[r.name] {
+		sim.addViolation("%s returned from table %d to older table %d", r.name, sim.highestRevision[r.name], rev)
 	}
-	w.highest[r.name] = rev
+	sim.highestRevision[r.name] = rev
 }
 
-// joined reports whether messages pass between two routers now.
-func (w *world) joined(a, b *simRouter) bool {
-	if w.cut[a.name] || w.cut[b.name] {
+// connected reports whether messages pass between two routers now.
+func (sim *simulation) connected(a, b *simRouter) bool {
+	if sim.cut[a.name] || sim.cut[b.name] {
 		return false
 	}
-	return a.zone == b.zone || !w.cut[a.zone] && !w.cut[b.zone]
+	return a.zone == b.zone || !sim.cut[a.zone] && !sim.cut[b.zone]
 }
 
-// run lets time pass, calling each before every step.
-func (w *world) run(until time.Duration, each func()) {
-	for w.now < until {
-		w.now += simStep
+// run advances the clock and calls each before every step.
+func (sim *simulation) run(until time.Duration, each func()) {
+	for sim.now < until {
+		sim.now += simStep
 		each()
-		if w.faulty() {
-			w.faultAt = w.now
+		if sim.faulty() {
+			sim.faultAt = sim.now
 		}
-		for _, n := range w.names {
-			if w.cut[n] {
-				w.splitAt = w.now
+		for _, n := range sim.names {
+			if sim.cut[n] {
+				sim.splitAt = sim.now
 			}
 		}
-		w.deliver()
-		for _, n := range w.names {
-			r := w.routers[n]
-			if !r.up || w.paused[n] {
+		sim.deliver()
+		for _, n := range sim.names {
+			r := sim.routers[n]
+			if !r.up || sim.paused[n] {
 				continue
 			}
-			w.readPlatform(r)
+			sim.readPlatform(r)
 			r.step(tickEvent{})
 		}
-		w.feedLoads()
-		w.deliver()
-		w.collect()
+		sim.reportLoads()
+		sim.deliver()
+		sim.processResults()
 	}
 }
 
-// settled is how long after a split a zone may still have two owners.
-const settled = 5 * time.Second
+// splitGrace is how long after a split a zone may still have two owners.
+const splitGrace = 5 * time.Second
 
-// allowed is the stated bound on what runs on a backend server: its slots, or
-// twice that while its zone is split and may have two owners.
-func (w *world) allowed(s *simServer) int {
-	if w.splitAt > 0 && w.now-w.splitAt < settled {
+// maxAllowed returns the bound on requests on a backend server: its slots, or twice that while
+// its zone is split and may have two owners.
+func (sim *simulation) maxAllowed(s *simServer) int {
+	if sim.splitAt > 0 && sim.now-sim.splitAt < splitGrace {
 		return 2 * s.row.Slots
 	}
 	return s.row.Slots
 }
 
-func (w *world) faulty() bool {
-	bad := w.stale
-	for _, n := range w.names {
-		bad = bad || !w.routers[n].up
+func (sim *simulation) faulty() bool {
+	bad := sim.stale
+	for _, n := range sim.names {
+		bad = bad || !sim.routers[n].up
 	}
-	for _, m := range []map[string]bool{w.cut, w.paused} {
+	for _, m := range []map[string]bool{sim.cut, sim.paused} {
 		for _, on := range m {
 			bad = bad || on
 		}
@@ -334,69 +334,69 @@
 	return bad
 }
 
-// readPlatform has a router whose turn it is follow the platform.
-func (w *world) readPlatform(r *simRouter) {
-	if w.cut["platform"] || w.cut[r.zone] || w.cut[r.name] {
+// readPlatform lets a router read the platform if that is due.
+func (sim *simulation) readPlatform(r *simRouter) {
+	if sim.cut["platform"] || sim.cut[r.zone] || sim.cut[r.name] {
 		return
 	}
-	now := clockStart + w.now - r.startedAt
+	now := clockStart + sim.now - r.startedAt
 	asOf := r.d.asOf().Number
 	watches := asOf > 0 && r.d.shared.readerRank.Load() < watcherCount && now-clockStart >= watchDelay
 	due := r.d.verifyDue(now) <= 0
 	switch {
-	case due && w.shown < asOf:
-		// It answers with an older revision than what is known, which is an error.
-	case due && asOf > 0 && w.shown == asOf:
+	case due && sim.visibleRevision < asOf:
+		// The platform returns an older revision than the known one, which is an error.
+	case due && asOf > 0 && sim.visibleRevision == asOf:
 		r.d.recordVerified(now)
 		r.step(verifiedEvent{})
 	case due:
-		r.step(updateEvent{Update: catalog.Update{AsOf: w.shown, Table: w.tableAt(w.shown)}, readAt: now})
-	case watches && w.shown > asOf:
-		r.step(updateEvent{Update: catalog.Update{After: asOf, AsOf: w.shown, Table: w.tableAt(w.shown)}})
+		r.step(updateEvent{Update: catalog.Update{AsOf: sim.visibleRevision, Table: sim.tableAt(sim.visibleRevision)}, readAt: now})
+	case watches && sim.visibleRevision > asOf:
+		r.step(updateEvent{Update: catalog.Update{After: asOf, AsOf: sim.visibleRevision, Table: sim.tableAt(sim.visibleRevision)}})
 	}
 }
 
-func (w *world) tableAt(rev uint64) *table.Table {
-	t := w.past[rev]
+func (sim *simulation) tableAt(rev uint64) *table.Table {
+	t := sim.tablesByRevision[rev]
 	t.Revision = rev
 	t.Index()
 	return &t
 }
 
-// deliver hands over what is due. What is under way over a cut is lost, and
-// its sender is told; what is for a paused router waits.
-func (w *world) deliver() {
-	sort.SliceStable(w.links, func(i, j int) bool {
-		if w.links[i].at != w.links[j].at {
-			return w.links[i].at < w.links[j].at
+// deliver delivers the messages that are due. Messages across a cut are lost and reported to
+// their sender; messages for a paused router wait.
+func (sim *simulation) deliver() {
+	sort.SliceStable(sim.links, func(i, j int) bool {
+		if sim.links[i].at != sim.links[j].at {
+			return sim.links[i].at < sim.links[j].at
 		}
-		return w.links[i].order < w.links[j].order
+		return sim.links[i].order < sim.links[j].order
 	})
-	for d, ok := w.nextDue(); ok; d, ok = w.nextDue() {
-		w.handOver(d)
+	for d, ok := sim.nextDue(); ok; d, ok = sim.nextDue() {
+		sim.deliverOne(d)
 	}
 }
 
-// nextDue takes the first message out whose time has come.
-func (w *world) nextDue() (delivery, bool) {
-	for i, d := range w.links {
-		if d.at > w.now {
+// nextDue removes and returns the first message that is due.
+func (sim *simulation) nextDue() (delivery, bool) {
+	for i, d := range sim.links {
+		if d.at > sim.now {
 			return delivery{}, false
 		}
-		if !w.paused[d.to] {
-			w.links = append(w.links[:i:i], w.links[i+1:]...)
+		if !sim.paused[d.to] {
+			sim.links = append(sim.links[:i:i], sim.links[i+1:]...)
 			return d, true
 		}
 	}
 	return delivery{}, false
 }
 
-func (w *world) handOver(d delivery) {
-	to, from := w.routers[d.to], w.routers[d.from]
-	sameStart := from.up && from.inc == d.inc
-	if !to.up || !w.joined(from, to) {
-		w.breakLink(d)
-		if sameStart {
+func (sim *simulation) deliverOne(d delivery) {
+	to, from := sim.routers[d.to], sim.routers[d.from]
+	sameIncarnation := from.up && from.inc == d.inc
+	if !to.up || !sim.connected(from, to) {
+		sim.dropConnection(d)
+		if sameIncarnation {
 			from.step(lossEvent{peer.Lost{Peer: d.to, Refused: !to.up}})
 		}
 		return
@@ -417,175 +417,175 @@
 
 func (d *delivery) connection() string { return fmt.Sprintf("%s/%d", d.from, d.inc) }
 
-// breakLink ends the connection of a lost message: what is behind it is lost
-// too, and both ends begin anew.
-func (w *world) breakLink(lost delivery) {
-	kept := w.links[:0]
-	for _, d := range w.links {
+// dropConnection drops the connection of a lost message with all messages behind it. Both ends
+// start with new codec state.
+func (sim *simulation) dropConnection(lost delivery) {
+	kept := sim.links[:0]
+	for _, d := range sim.links {
 		if d.from != lost.from || d.to != lost.to || d.inc != lost.inc {
 			kept = append(kept, d)
 		}
 	}
-	w.links = kept
-	delete(w.routers[lost.to].in, lost.connection())
-	if from := w.routers[lost.from]; from.inc == lost.inc {
+	sim.links = kept
+	delete(sim.routers[lost.to].in, lost.connection())
+	if from := sim.routers[lost.from]; from.inc == lost.inc {
 		delete(from.out, lost.to)
 	}
 }
 
-// feedLoads has the owners read the loads of their backend servers.
-func (w *world) feedLoads() {
-	if (w.now-simStart)%loadInterval != 0 {
+// reportLoads reports the loads of the backend servers to their owners.
+func (sim *simulation) reportLoads() {
+	if (sim.now-simStart)%loadInterval != 0 {
 		return
 	}
-	for _, n := range w.names {
-		r := w.routers[n]
-		if !r.up || w.paused[n] {
+	for _, n := range sim.names {
+		r := sim.routers[n]
+		if !r.up || sim.paused[n] {
 			continue
 		}
 		for _, b := range r.core.OwnedBackends() {
-			if !w.cut[n] && (b.Zone == r.zone || !w.cut[r.zone] && !w.cut[b.Zone]) {
-				r.step(loadEvent{b.Name, w.servers[b.Name].inFlight})
+			if !sim.cut[n] && (b.Zone == r.zone || !sim.cut[r.zone] && !sim.cut[b.Zone]) {
+				r.step(loadEvent{b.Name, sim.servers[b.Name].inFlight})
 			}
 		}
 	}
 }
 
-// request sends a caller's request to a router.
-func (w *world) request(id, router, account, model, key string, tokens int64, wait time.Duration) {
-	r := w.routers[router]
-	a := &simAsk{id: id, router: router, key: key, tokens: tokens, inc: r.inc,
+// request sends a client request to a router.
+func (sim *simulation) request(id, router, account, model, key string, tokens int64, wait time.Duration) {
+	r := sim.routers[router]
+	a := &simRequest{id: id, router: router, key: key, tokens: tokens, inc: r.inc,
 		req: front.Request{Account: account, Model: model}}
-	w.asks[id] = a
-	if !r.up || w.paused[router] {
+	sim.requests[id] = a
+	if !r.up || sim.paused[router] {
 		a.done = true
-		w.note("%s: %s finds no router", router, id)
+		sim.logf("%s: %s finds no router", router, id)
 		return
 	}
-	a.until = w.now + wait
+	a.until = sim.now + wait
 	if key == "" {
-		w.queueAsk(r, a)
+		sim.queueRequest(r, a)
 		return
 	}
 	a.claim = make(chan error, 1)
-	if _, again := w.used[key]; !again {
-		w.used[key] = w.now.Milliseconds()
+	if _, again := sim.keyFirstUse[key]; !again {
+		sim.keyFirstUse[key] = sim.now.Milliseconds()
 	}
-	msg := &wire.Claim{Key: account + "\x00" + key, Request: id, At: w.used[key]}
+	msg := &wire.Claim{Key: account + "\x00" + key, Request: id, At: sim.keyFirstUse[key]}
 	r.step(claimEvent{&pendingClaim{msg: msg, answer: a.claim}})
 }
 
-func (w *world) queueAsk(r *simRouter, a *simAsk) {
-	at := time.Unix(0, int64(w.now))
+func (sim *simulation) queueRequest(r *simRouter, a *simRequest) {
+	at := time.Unix(0, int64(sim.now))
 	req := a.req
-	req.Deadline = at.Add(a.until - w.now)
+	req.Deadline = at.Add(a.until - sim.now)
 	a.attempt = &attempt{request: req, arrivedAt: at, result: make(chan decision, 1)}
 	r.step(arriveEvent{a.attempt})
 }
 
-// collect takes the routers' answers to requests and lets the backend servers
-// work on those that may run.
-func (w *world) collect() {
-	for _, id := range sortedNames(w.asks) {
-		a := w.asks[id]
-		r := w.routers[a.router]
-		if a.done || w.paused[a.router] || !r.up || r.inc != a.inc {
+// processResults handles the routers' decisions and runs the granted requests on the backend
+// servers.
+func (sim *simulation) processResults() {
+	for _, id := range sortedNames(sim.requests) {
+		a := sim.requests[id]
+		r := sim.routers[a.router]
+		if a.done || sim.paused[a.router] || !r.up || r.inc != a.inc {
 			continue
 		}
-		w.collectClaim(r, a)
+		sim.processClaim(r, a)
 		if a.attempt != nil {
 			select {
 			case got := <-a.attempt.result:
-				w.answered(r, a, got)
+				sim.handleDecision(r, a, got)
 			default:
 			}
 		}
-		w.serve(r, a)
+		sim.serve(r, a)
 	}
 }
 
-func (w *world) collectClaim(r *simRouter, a *simAsk) {
+func (sim *simulation) processClaim(r *simRouter, a *simRequest) {
 	select {
 	case err := <-a.claim:
 		if err != nil {
 			a.done = true
-			w.note("%s: %s is refused: %s", a.router, a.id, short(err))
+			sim.logf("%s: %s is refused: %s", a.router, a.id, errorCode(err))
 			return
 		}
-		other, twice := w.granted[a.key]
+		other, twice := sim.keyGrantedTo[a.key]
 		if twice {
-			w.fail("key %s was granted to %s and to %s", a.key, other, a.id)
+			sim.addViolation("key %s was granted to both %s and %s", a.key, other, a.id)
 		}
-		w.granted[a.key] = a.id
-		w.queueAsk(r, a)
+		sim.keyGrantedTo[a.key] = a.id
+		sim.queueRequest(r, a)
 	default:
 	}
 }
 
-func short(err error) string { return strings.SplitN(err.Error(), ":", 2)[0] }
+func errorCode(err error) string { return strings.SplitN(err.Error(), ":", 2)[0] }
 
-func (w *world) answered(r *simRouter, a *simAsk, got decision) {
+func (sim *simulation) handleDecision(r *simRouter, a *simRequest, got decision) {
 	if got.err != nil {
 		a.done = true
-		w.note("%s: %s is refused: %s", a.router, a.id, short(got.err))
+		sim.logf("%s: %s is refused: %s", a.router, a.id, errorCode(got.err))
 		return
 	}
 	a.grant = got.id
-	if clockStart+w.now-r.startedAt-got.decidedAt >= r.d.startTimeout() {
-		w.note("%s: %s does not start, its place is too old", a.router, a.id)
+	if clockStart+sim.now-r.startedAt-got.decidedAt >= r.d.startTimeout() {
+		sim.logf("%s: %s does not start, its place is too old", a.router, a.id)
 		r.step(endEvent{id: got.id, result: admit.Unknown})
-		w.queueAsk(r, a)
+		sim.queueRequest(r, a)
 		return
 	}
-	s := w.servers[got.start.Backend.Name]
+	s := sim.servers[got.start.Backend.Name]
 	s.inFlight++
-	s.most = max(s.most, s.inFlight)
-	if allowed := w.allowed(s); s.inFlight > allowed {
-		w.fail("%d run on %s where %d may", s.inFlight, got.start.Backend.Name, allowed)
+	s.maxInFlight = max(s.maxInFlight, s.inFlight)
+	if maxAllowed := sim.maxAllowed(s); s.inFlight > maxAllowed {
+		sim.addViolation("%d requests run on %s, at most %d allowed", s.inFlight, got.start.Backend.Name, maxAllowed)
 	}
 	a.started, a.server = true, got.start.Backend.Name
-	a.ends = w.now + time.Duration(a.tokens)*tokenEvery
-	w.note("%s: %s starts on %s", a.router, a.id, got.start.Backend.Name)
-	if told := max(s.closedAt, w.faultAt); s.closedAt > 0 && w.now-told > 2*time.Second {
-		w.fail("%s started on %s %s after its mark", a.id, got.start.Backend.Name, w.now-told)
+	a.ends = sim.now + time.Duration(a.tokens)*tokenInterval
+	sim.logf("%s: %s starts on %s", a.router, a.id, got.start.Backend.Name)
+	if since := max(s.closedAt, sim.faultAt); s.closedAt > 0 && sim.now-since > 2*time.Second {
+		sim.addViolation("%s started on %s %s after it was marked", a.id, got.start.Backend.Name, sim.now-since)
 	}
 }
 
-// serve ends a request whose tokens have all come.
-func (w *world) serve(r *simRouter, a *simAsk) {
+// serve completes a request once all its tokens were sent.
+func (sim *simulation) serve(r *simRouter, a *simRequest) {
 	if !a.started || a.done {
 		return
 	}
-	left := int64((a.ends - w.now) / tokenEvery)
+	left := int64((a.ends - sim.now) / tokenInterval)
 	if n, ok := r.tokenCounts[a.grant]; ok {
 		n.Store(max(0, a.tokens-max(0, left)))
 	}
-	if w.now < a.ends {
+	if sim.now < a.ends {
 		return
 	}
 	a.done = true
-	w.servers[a.server].inFlight--
-	w.note("%s: %s ends on %s", a.router, a.id, a.server)
+	sim.servers[a.server].inFlight--
+	sim.logf("%s: %s ends on %s", a.router, a.id, a.server)
 	r.step(endEvent{id: a.grant, result: admit.Answered, completed: true, tokens: a.tokens})
 }
 
 // mark marks a backend server and publishes the table.
-func (w *world) mark(server string, m table.Mark) {
-	for i := range w.table.Backends {
-		if w.table.Backends[i].Name == server {
-			w.table.Backends[i].Mark = m
+func (sim *simulation) mark(server string, m table.Mark) {
+	for i := range sim.table.Backends {
+		if sim.table.Backends[i].Name == server {
+			sim.table.Backends[i].Mark = m
 		}
 	}
-	w.servers[server].closedAt = 0
+	sim.servers[server].closedAt = 0
 	if m != table.Serving {
-		w.servers[server].closedAt = w.now
+		sim.servers[server].closedAt = sim.now
 	}
-	w.publish()
+	sim.publish()
 }
 
-// close ends the routers.
-func (w *world) close() {
-	for _, n := range w.names {
-		w.routers[n].d.Close()
+// close closes all dispatchers.
+func (sim *simulation) close() {
+	for _, n := range sim.names {
+		sim.routers[n].d.Close()
 	}
 }
