--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -165,9 +165,9 @@
 // WithClock sets the clock that measures the age of all state.
 func WithClock(c *clock.Clock) Option { return func(o *options) { o.clock = c } }
 
-// WithUniqueStarts declares that every start of a backend server has its own name, unless the
+// WithUniqueIncarnations declares that every start of a backend server has its own name, unless the
 // directory numbers the starts. Requests that are meant for another start are refused.
-func WithUniqueStarts() Option {
+func WithUniqueIncarnations() Option {
 	return func(o *options) { o.coreOptions = append(o.coreOptions, admit.WithUniqueIncarnations()) }
 }
 
--- a/internal/dispatch/uses.go
+++ b/internal/dispatch/uses.go
@@ -8,9 +8,9 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// WithWeights serves accounts by the weights of the table, enforces its limits and lets
+// WithWeightedAccounts serves accounts by the weights of the table, enforces its limits and lets
 // requests wait until their deadlines.
-func WithWeights() Option {
+func WithWeightedAccounts() Option {
 	return func(o *options) {
 		o.weighted = true
 		o.coreOptions = append(o.coreOptions, admit.WithWeightedAccounts())
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -179,7 +179,7 @@
 	r.in = map[string]*wire.Decoder{}
 	r.startedAt, r.lastRunAt = sim.now, sim.now
 	d := New(Identity{Name: name, Address: name, Zone: r.zone, Incarnation: r.inc}, emptySource{}, r,
-		WithLogger(slog.New(slog.DiscardHandler)), WithWeights())
+		WithLogger(slog.New(slog.DiscardHandler)), WithWeightedAccounts())
 	d.opt.wallClock = func() time.Time { return time.Unix(0, int64(sim.now)) }
 	r.state = newState(d)
 	r.step(instancesEvent{platform.Instances{Revision: 1, Instances: sim.list()}})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -218,7 +218,7 @@
 		dispatch.WithRetryBudget(ruleOf(s.Retries)), dispatch.WithForwarder(n.forwarder), dispatch.WithClock(n.clock),
 	}
 	if p.Backends.Instance != "" {
-		opts = append(opts, dispatch.WithUniqueStarts())
+		opts = append(opts, dispatch.WithUniqueIncarnations())
 	}
 	n.Dispatch = dispatch.New(id, p.Source(s.Platform, o.dialer), n.Peers, opts...)
 }
@@ -231,7 +231,7 @@
 	n.loads = backend.NewLoadReader(o.dialer)
 	n.Dispatch = dispatch.New(id, values.New(n.Platform), n.Peers,
 		dispatch.WithLogger(n.log), dispatch.WithSeeds(s.Seeds), dispatch.WithApplyWithin(s.ApplyWithin),
-		dispatch.WithRetryBudget(ruleOf(s.Retries)), dispatch.WithClock(n.clock), dispatch.WithWeights(), dispatch.WithLoadReader(n.loads))
+		dispatch.WithRetryBudget(ruleOf(s.Retries)), dispatch.WithClock(n.clock), dispatch.WithWeightedAccounts(), dispatch.WithLoadReader(n.loads))
 }
 
 // gatherPart is the part of the time within which an event is to reach its caller for
