--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -85,14 +85,14 @@
 	return admit.AttemptTTL
 }
 
-// idleConnectionShare is the fraction of a backend server's connection limit that is divided
-// evenly among the routers as idle connections. The rest is left for requests in flight, which
-// may be spread unevenly.
-const idleConnectionShare = 0.5
+// evenConnectionFraction is the fraction of a backend server's connection limit that is divided
+// evenly among the routers. The rest is left for requests in flight, which may be spread
+// unevenly.
+const evenConnectionFraction = 0.5
 
-// connectionShare returns how many idle connections this router may keep to each backend server
-// of a service, 0 if the table states no limit. Without this bound, idle connections of many
-// routers would exceed the limit.
+// connectionShare returns this router's share of the connections to each backend server of a
+// service, 0 if the table states no limit. Idle connections beyond the share are closed, since
+// those of many routers would exceed the limit.
 func (d *Dispatcher) connectionShare(service string) int {
 	t := d.Table()
 	if t == nil {
@@ -103,7 +103,7 @@
 		return 0
 	}
 	routers := max(1, d.shared.routerCount.Load())
-	return max(1, int(idleConnectionShare*float64(row.MaxConnections)/float64(routers)))
+	return max(1, int(evenConnectionFraction*float64(row.MaxConnections)/float64(routers)))
 }
 
 // Release implements front.Scheduler.
--- a/internal/dispatch/acquire_test.go
+++ b/internal/dispatch/acquire_test.go
@@ -14,9 +14,9 @@
 // delay may have caused.
 func TestAdjustResult(t *testing.T) {
 	tests := map[string]struct {
-		result admit.Result
-		late   bool
-		want   admit.Result
+		result    admit.Result
+		saturated bool
+		want      admit.Result
 	}{
 		"stalled, not saturated":     {admit.Stalled, false, admit.Stalled},
 		"stalled, saturated":         {admit.Stalled, true, admit.Unknown},
@@ -28,7 +28,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := adjustResult(tc.result, tc.late); got != tc.want {
+			if got := adjustResult(tc.result, tc.saturated); got != tc.want {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
 		})
@@ -37,8 +37,8 @@
 
 // TestWasDisconnected checks which outcomes count as a connection closed by the backend server.
 func TestWasDisconnected(t *testing.T) {
-	usage := func(code string, sent, silent bool) front.Usage {
-		return front.Usage{Sent: sent, Stalled: silent, Error: verdict.New(verdict.PhaseStream, http.StatusBadGateway, code, "")}
+	usage := func(code string, sent, stalled bool) front.Usage {
+		return front.Usage{Sent: sent, Stalled: stalled, Error: verdict.New(verdict.PhaseStream, http.StatusBadGateway, code, "")}
 	}
 	tests := map[string]struct {
 		usage front.Usage
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -137,7 +137,8 @@
 // Forwarder forwards callers' connections to other routers.
 type Forwarder interface {
 	// SetPeers replaces the routers that accept forwarded connections. EndStreamsExcept
-	// ends the streams with all routers that are not alive, Lost those with one router.
+	// ends the streams with all routers that are not alive, EndStreams those with one
+	// router.
 	SetPeers(list []forward.Peer)
 	EndStreamsExcept(live map[string]bool)
 	EndStreams(address string)
--- a/internal/dispatch/follow.go
+++ b/internal/dispatch/follow.go
@@ -169,7 +169,8 @@
 	switch {
 	case verified > 0:
 	case !d.asOf().IsZero():
-		// Another router sent everything, but not how fresh it is.
+		// Another router sent everything. Its data is fresh enough to count as verified at
+		// the start.
 		verified = clockStart
 	case len(d.opt.seeds) == 0 || slices.Contains(d.opt.seeds, d.id.Address):
 		return 0
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -145,10 +145,10 @@
 // updateSince returns what was published after a revision. Full updates are cached, since many
 // routers request one when the fleet starts and queued copies would need much memory. The
 // message must not be modified.
-func (s *state) updateSince(ask *wire.NewsAsk) *wire.News {
+func (s *state) updateSince(request *wire.NewsAsk) *wire.News {
 	asOf := s.catalog.AsOf()
-	if ask.Epoch == asOf.Epoch && s.catalog.HasHistorySince(ask.After) {
-		return &wire.News{Update: s.catalog.Since(ask.After)}
+	if request.Epoch == asOf.Epoch && s.catalog.HasHistorySince(request.After) {
+		return &wire.News{Update: s.catalog.Since(request.After)}
 	}
 	if s.fullUpdate.msg == nil || s.fullUpdate.asOf != asOf || s.now-s.fullUpdate.at >= fullUpdateTTL {
 		s.fullUpdate = cachedUpdate{msg: &wire.News{Update: s.catalog.Since(0)}, asOf: asOf, at: s.now}
