--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -71,8 +71,8 @@
 		TokensAhead: got.start.Ahead, ExpectedFirstEvent: got.start.Expected, Running: got.start.Running,
 		Served: got.served, Waited: r.Waited + got.waited,
 		OnFirstEvent: func() { d.post(began{got.id}) },
-		OnNotice:     func(w backend.Said) { d.post(said{got.id, w}) },
-		Saturated:    d.Hurried,
+		OnNotice:     func(w backend.Notice) { d.post(said{got.id, w}) },
+		Saturated:    d.Saturated,
 		// A router that stood still for longer has lost its place to another.
 		MayStart: func() bool { return d.now()-got.at < d.startWithin() },
 	}, nil
@@ -246,11 +246,11 @@
 
 type said struct {
 	id   uint64
-	word backend.Said
+	word backend.Notice
 }
 
 func (e said) apply(s *state) {
-	s.step(admit.Said{ID: e.id, Leaving: e.word.Leaving, Rest: e.word.Rest})
+	s.step(admit.Said{ID: e.id, Leaving: e.word.Leaving, Rest: e.word.RetryAfter})
 }
 
 type ended struct {
@@ -266,7 +266,7 @@
 }
 
 func (e ended) apply(s *state) {
-	result := blamed(e.result, s.d.Hurried())
+	result := blamed(e.result, s.d.Saturated())
 	s.ending = e.request
 	delete(s.served, e.id)
 	s.step(admit.End{ID: e.id, Tokens: e.tokens, Result: result, Digest: e.digest, Cut: e.cut && result != admit.Unknown, Whole: e.whole})
--- a/internal/front/scheduler.go
+++ b/internal/front/scheduler.go
@@ -109,7 +109,7 @@
 	OnFirstEvent func()
 	// OnNotice is called with what the backend server says of itself, when that comes; nil
 	// if nobody asks.
-	OnNotice func(backend.Said)
+	OnNotice func(backend.Notice)
 	// Saturated reports whether this router has no time to pass each event on by
 	// itself; nil if it always has.
 	Saturated func() bool
