--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,10 +1,9 @@
-// Package forward hands callers' connections on from a router that has no time to one
-// that has: bytes of the connection go over the connections that routers keep among
-// themselves, without another one to accept and to open. The router that takes a
-// connection serves it as if its caller had come there.
+// Package forward relays callers' connections from an overloaded router to one with spare
+// capacity. The bytes of each connection travel as messages over the existing connections
+// between routers; the receiving router serves them like a connection of its own.
 //
-// All callers of an account may come to one small router; to pass bytes on takes it a
-// third of the time that a request does.
+// Relaying bytes costs a router much less than handling the request. This helps when all
+// callers of an account connect to one small router.
 package forward
 
 import (
@@ -19,79 +18,77 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// Sender sends messages to other routers by their addresses and does not wait.
+// Sender sends messages to other routers without blocking.
 type Sender interface{ Send(to string, msg any) }
 
-// Server serves the connections that others hand on.
+// Server serves connections that other routers forward.
 type Server interface {
-	// AcceptsForwarded reports whether it has time for one more, and knows the table of
-	// a revision.
-	AcceptsForwarded(by table.Version) bool
-	// ServeForwarded serves a connection to its end.
+	// AcceptsForwarded reports whether the server has capacity for one more connection and has
+	// a table at least as new as version.
+	AcceptsForwarded(version table.Version) bool
+	// ServeForwarded serves a connection until it closes.
 	ServeForwarded(c net.Conn)
 }
 
-// Peer is a router that connections may be handed to.
+// Peer is a router that connections may be forwarded to.
 type Peer struct {
 	Address string
-	// Capacity is its share of processors, above 0.
+	// Capacity is the router's weight, its share of processors; it is above 0.
 	Capacity float64
 }
 
 const (
-	// busyFor is for how long a router that took no connection is passed over.
-	busyFor = 300 * time.Millisecond
-	// tries is how many routers are asked to take a connection.
-	tries = 2
-	// mostWaiting bounds the messages of one stream that wait to be written to its
-	// connection: what a caller that does not read leaves behind.
-	mostWaiting = 64
-	// pieceSize is the most that is sent on at once.
-	pieceSize = 16 << 10
+	// busyCooldown is how long a peer that refused a connection is not chosen again.
+	busyCooldown = 300 * time.Millisecond
+	// maxAttempts is the number of peers to which a connection is offered.
+	maxAttempts = 2
+	// maxQueued bounds the messages of one stream that wait to be written to its connection.
+	maxQueued = 64
+	// chunkSize is the most bytes sent in one message.
+	chunkSize = 16 << 10
 )
 
-// Forwarder hands connections on, and serves those that others hand on.
+// Forwarder forwards connections to peers and serves connections that peers forward.
 type Forwarder struct {
-	clock *clock.Clock
-	send  Sender
-	front Server
-	// gather is for how long answers are collected before more of them is sent back.
-	gather func() time.Duration
-
-	mu         sync.Mutex
-	lastID     uint64
-	neighbours []Peer
-	// busy are the neighbours that took no connection, until when.
-	busy map[string]time.Time
-	// out are the streams handed on, in those that others handed on.
-	out map[uint64]*outgoing
-	in  map[inKey]*incoming
-}
-
-// inKey names a stream of another router.
-type inKey struct {
-	from   string
-	inc    uint64
-	stream uint64
-}
-
-// Option changes a new Forwarder.
+	clock  *clock.Clock
+	sender Sender
+	server Server
+	// batchDelay returns how long to collect response bytes before sending the next message.
+	batchDelay func() time.Duration
+
+	mu     sync.Mutex
+	lastID uint64
+	peers  []Peer
+	// busyUntil holds the peers that refused a connection recently.
+	busyUntil map[string]time.Time
+	// outgoing holds the streams forwarded to peers, incoming those received from peers.
+	outgoing map[uint64]*outgoing
+	incoming map[streamKey]*incoming
+}
+
+// streamKey identifies a stream that another router forwarded.
+type streamKey struct {
+	from        string
+	incarnation uint64
+	id          uint64
+}
+
+// Option configures a Forwarder.
 type Option func(*Forwarder)
 
-// WithBatchDelay sets for how long answers are collected before more of them is sent back.
-func WithBatchDelay(gather func() time.Duration) Option {
-	return func(f *Forwarder) { f.gather = gather }
+// WithBatchDelay sets how long response bytes are collected before the next message is sent.
+func WithBatchDelay(delay func() time.Duration) Option {
+	return func(f *Forwarder) { f.batchDelay = delay }
 }
 
-// WithClock sets the clock by which streams are given up.
+// WithClock sets the clock for the deadlines of streams.
 func WithClock(c *clock.Clock) Option { return func(f *Forwarder) { f.clock = c } }
 
-// New returns a forwarder that knows no neighbours, and neither takes nor hands on
-// anything before Use.
+// New returns a forwarder without peers. It forwards and accepts nothing before Bind.
 func New(opts ...Option) *Forwarder {
 	f := &Forwarder{
-		clock: clock.System(), gather: func() time.Duration { return 0 },
-		busy: map[string]time.Time{}, out: map[uint64]*outgoing{}, in: map[inKey]*incoming{},
+		clock: clock.System(), batchDelay: func() time.Duration { return 0 },
+		busyUntil: map[string]time.Time{}, outgoing: map[uint64]*outgoing{}, incoming: map[streamKey]*incoming{},
 	}
 	for _, o := range opts {
 		o(f)
@@ -99,117 +96,118 @@
 	return f
 }
 
-// Bind sets what messages go by, and what serves connections that others hand on.
-func (f *Forwarder) Bind(send Sender, front Server) {
+// Bind sets how messages are sent and which server handles forwarded connections.
+func (f *Forwarder) Bind(sender Sender, server Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.send, f.front = send, front
+	f.sender, f.server = sender, server
 }
 
-// SetPeers replaces the routers that connections may be handed to. What was handed
-// to others goes on: they may be leaving.
-func (f *Forwarder) SetPeers(list []Peer) {
+// SetPeers replaces the routers that connections may be forwarded to. Streams to former peers
+// continue, since those routers may be draining.
+func (f *Forwarder) SetPeers(peers []Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.neighbours = list
+	f.peers = peers
 }
 
 // Close ends all streams.
 func (f *Forwarder) Close() {
-	f.endAll(func(string) bool { return true })
+	f.closeMatching(func(string) bool { return true })
 }
 
-// EndStreams takes in that messages to or from a router may be lost: its streams cannot go on.
+// EndStreams ends all streams to and from the router at address. It is called when messages
+// may have been lost.
 func (f *Forwarder) EndStreams(address string) {
-	f.endAll(func(a string) bool { return a == address })
+	f.closeMatching(func(a string) bool { return a == address })
 }
 
-// EndStreamsExcept ends the streams at or from routers that do not live.
+// EndStreamsExcept ends the streams to and from all routers that are not in live.
 func (f *Forwarder) EndStreamsExcept(live map[string]bool) {
-	f.endAll(func(a string) bool { return !live[a] })
+	f.closeMatching(func(a string) bool { return !live[a] })
 }
 
-// endAll ends the streams at or from some routers.
-func (f *Forwarder) endAll(some func(address string) bool) {
+// closeMatching ends the streams to and from the routers whose address matches.
+func (f *Forwarder) closeMatching(match func(address string) bool) {
 	f.mu.Lock()
-	var out []*outgoing
-	var in []*incoming
-	for _, o := range f.out {
-		if some(o.to) {
-			out = append(out, o)
+	var outs []*outgoing
+	var ins []*incoming
+	for _, o := range f.outgoing {
+		if match(o.to) {
+			outs = append(outs, o)
 		}
 	}
-	for key, i := range f.in {
-		if some(key.from) {
-			in = append(in, i)
+	for key, i := range f.incoming {
+		if match(key.from) {
+			ins = append(ins, i)
 		}
 	}
 	f.mu.Unlock()
-	for _, o := range out {
+	for _, o := range outs {
 		o.end()
 	}
-	for _, i := range in {
+	for _, i := range ins {
 		i.close()
 	}
 }
 
-// Handle takes a message that belongs to a stream, and reports whether it was one.
+// Handle processes a message that belongs to a stream and reports whether it was one.
 func (f *Forwarder) Handle(in peer.Inbound) bool {
 	switch m := in.Msg.(type) {
 	case *wire.Forward:
 		f.mu.Lock()
-		send, front := f.send, f.front
+		sender, server := f.sender, f.server
 		f.mu.Unlock()
-		if send != nil {
-			f.accept(in, m, send, front)
+		if sender != nil {
+			f.accept(in, m, sender, server)
 		}
 	case *wire.ForwardData:
-		f.data(in, m)
+		f.handleData(in, m)
 	default:
 		return false
 	}
 	return true
 }
 
-func (f *Forwarder) data(in peer.Inbound, m *wire.ForwardData) {
+func (f *Forwarder) handleData(in peer.Inbound, m *wire.ForwardData) {
 	f.mu.Lock()
-	o, i := f.out[m.Stream], f.in[inKey{in.From, in.Inc, m.Stream}]
+	o, i := f.outgoing[m.Stream], f.incoming[streamKey{in.From, in.Inc, m.Stream}]
 	f.mu.Unlock()
 	switch {
 	case m.Answer && o != nil && o.to == in.From:
-		o.take(m)
+		o.receive(m)
 	case !m.Answer && i != nil:
-		i.take(m)
+		i.receive(m)
 	}
 }
 
-// choose draws a neighbour by what it has of processors, without those that are busy or
-// were asked before. It reports false if there is none.
-func (f *Forwarder) choose(now time.Time, asked string) (string, bool) {
+// choosePeer picks a random peer, weighted by capacity, other than exclude and the busy ones.
+// It returns false if there is none.
+func (f *Forwarder) choosePeer(now time.Time, exclude string) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	may := func(n Peer) bool { return n.Address != asked && !now.Before(f.busy[n.Address]) }
-	sum := 0.0
-	for _, n := range f.neighbours {
-		if may(n) {
-			sum += n.Capacity
+	eligible := func(p Peer) bool { return p.Address != exclude && !now.Before(f.busyUntil[p.Address]) }
+	total := 0.0
+	for _, p := range f.peers {
+		if eligible(p) {
+			total += p.Capacity
 		}
 	}
-	draw := rand.Float64() * sum
-	for _, n := range f.neighbours {
-		if !may(n) {
+	draw := rand.Float64() * total
+	for _, p := range f.peers {
+		if !eligible(p) {
 			continue
 		}
-		if draw -= n.Capacity; draw < 0 {
-			return n.Address, true
+		if draw -= p.Capacity; draw < 0 {
+			return p.Address, true
 		}
 	}
 	return "", false
 }
 
-// noteBusy passes a neighbour over for a while.
-func (f *Forwarder) noteBusy(address string, now time.Time) {
+// markBusy excludes a peer from choosePeer for busyCooldown.
+func (f *Forwarder) markBusy(address string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.busy[address] = now.Add(busyFor)
+	f.busyUntil[address] = now.Add(busyCooldown)
 }
--- a/internal/forward/incoming.go
+++ b/internal/forward/incoming.go
@@ -11,144 +11,143 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// incoming is a stream that another router handed on.
+// incoming is a stream that another router forwarded to this one.
 type incoming struct {
-	f    *Forwarder
-	send Sender
-	key  inKey
-	pipe net.Conn
-	// pieces are what the caller sent, in order; ended is closed with the stream.
-	pieces chan *wire.ForwardData
-	ended  chan struct{}
-	once   sync.Once
-	// taken is how many pieces of the answer have reached the caller, room a sign that
-	// it has grown.
-	taken atomic.Uint64
-	room  chan struct{}
+	forwarder *Forwarder
+	sender    Sender
+	key       streamKey
+	pipe      net.Conn
+	// fromCaller holds the caller's messages in order. done is closed when the stream ends.
+	fromCaller chan *wire.ForwardData
+	done       chan struct{}
+	once       sync.Once
+	// acked is the number of response messages that have reached the caller. ackReceived
+	// signals that it has grown.
+	acked       atomic.Uint64
+	ackReceived chan struct{}
 }
 
 const (
-	// window is how many pieces of an answer may be on their way to the caller: what a
-	// caller that reads slowly makes two routers hold. takenEvery is how often the router
-	// that has the caller says how many have reached it.
-	window     = mostWaiting / 2
-	takenEvery = window / 2
+	// window is the maximum number of response messages in flight to the caller. It bounds
+	// what both routers buffer for a slow reader. The router that holds the caller's
+	// connection acknowledges every ackInterval messages.
+	window      = maxQueued / 2
+	ackInterval = window / 2
 )
 
-// accept takes a connection that another router hands on, unless there is no time for it
-// here either.
-func (f *Forwarder) accept(in peer.Inbound, m *wire.Forward, send Sender, front Server) {
-	if !front.AcceptsForwarded(table.Version{Edition: m.Edition, Revision: m.Revision}) {
-		send.Send(in.From, &wire.ForwardData{Stream: m.Stream, Answer: true, Number: 1, Refused: true, End: true})
+// accept starts serving a forwarded connection, or refuses it if the server has no capacity.
+func (f *Forwarder) accept(in peer.Inbound, m *wire.Forward, sender Sender, server Server) {
+	if !server.AcceptsForwarded(table.Version{Edition: m.Edition, Revision: m.Revision}) {
+		sender.Send(in.From, &wire.ForwardData{Stream: m.Stream, Answer: true, Number: 1, Refused: true, End: true})
 		return
 	}
-	near, far := net.Pipe()
+	local, remote := net.Pipe()
 	i := &incoming{
-		f: f, send: send, key: inKey{in.From, in.Inc, m.Stream}, pipe: near,
-		pieces: make(chan *wire.ForwardData, mostWaiting), ended: make(chan struct{}),
-		room: make(chan struct{}, 1),
+		forwarder: f, sender: sender, key: streamKey{in.From, in.Inc, m.Stream}, pipe: local,
+		fromCaller: make(chan *wire.ForwardData, maxQueued), done: make(chan struct{}),
+		ackReceived: make(chan struct{}, 1),
 	}
 	f.mu.Lock()
-	f.in[i.key] = i
+	f.incoming[i.key] = i
 	f.mu.Unlock()
-	go i.write(m.Data)
-	go i.read()
-	go front.ServeForwarded(far)
+	go i.writeToServer(m.Data)
+	go i.readFromServer()
+	go server.ServeForwarded(remote)
 }
 
-// take takes in what the caller sent. It does not wait.
-func (i *incoming) take(m *wire.ForwardData) {
+// receive queues a message from the caller or records an acknowledgement. It does not block.
+func (i *incoming) receive(m *wire.ForwardData) {
 	if m.Taken > 0 {
-		i.taken.Store(m.Taken)
+		i.acked.Store(m.Taken)
 		select {
-		case i.room <- struct{}{}:
+		case i.ackReceived <- struct{}{}:
 		default:
 		}
 		return
 	}
 	select {
-	case i.pieces <- m:
+	case i.fromCaller <- m:
 	default:
 		i.close()
 	}
 }
 
-// close ends the stream, as if the caller had left.
+// close ends the stream as if the caller had disconnected.
 func (i *incoming) close() {
 	i.once.Do(func() {
-		close(i.ended)
+		close(i.done)
 		_ = i.pipe.Close()
-		i.f.mu.Lock()
-		delete(i.f.in, i.key)
-		i.f.mu.Unlock()
+		i.forwarder.mu.Lock()
+		delete(i.forwarder.incoming, i.key)
+		i.forwarder.mu.Unlock()
 	})
 }
 
-// write passes on what the caller sent.
-func (i *incoming) write(first []byte) {
+// writeToServer writes the caller's bytes to the server.
+func (i *incoming) writeToServer(first []byte) {
 	if _, err := i.pipe.Write(first); err != nil {
 		return
 	}
-	for n := uint64(1); ; n++ {
+	for seq := uint64(1); ; seq++ {
 		select {
-		case m := <-i.pieces:
-			if m.End || m.Number != n {
+		case m := <-i.fromCaller:
+			if m.End || m.Number != seq {
 				i.close()
 				return
 			}
 			if _, err := i.pipe.Write(m.Data); err != nil {
 				return
 			}
-		case <-i.ended:
+		case <-i.done:
 			return
 		}
 	}
 }
 
-// read sends back what is answered, collected for a while after the first piece.
-func (i *incoming) read() {
-	buf := make([]byte, pieceSize)
-	for number := uint64(1); i.waitForRoom(number); number++ {
+// readFromServer sends the response back, batched after the first message.
+func (i *incoming) readFromServer() {
+	buf := make([]byte, chunkSize)
+	for seq := uint64(1); i.waitForWindow(seq); seq++ {
 		n, err := i.pipe.Read(buf)
-		m := &wire.ForwardData{Stream: i.key.stream, Answer: true, Number: number, Data: append([]byte(nil), buf[:n]...), End: err != nil}
+		m := &wire.ForwardData{Stream: i.key.id, Answer: true, Number: seq, Data: append([]byte(nil), buf[:n]...), End: err != nil}
 		select {
-		case <-i.ended:
-			// The caller has left, or its router: nobody waits for more.
+		case <-i.done:
+			// The caller or its router is gone, so nobody needs the rest.
 			return
 		default:
 		}
-		i.send.Send(i.key.from, m)
+		i.sender.Send(i.key.from, m)
 		if err != nil {
 			i.close()
 			return
 		}
-		i.pause()
+		i.waitBatch()
 	}
 }
 
-// waitForRoom waits until a piece may be sent back, and reports false if the stream ends
-// meanwhile.
-func (i *incoming) waitForRoom(number uint64) bool {
-	for number > i.taken.Load()+window {
+// waitForWindow waits until message seq may be sent. It returns false if the stream ends
+// first.
+func (i *incoming) waitForWindow(seq uint64) bool {
+	for seq > i.acked.Load()+window {
 		select {
-		case <-i.room:
-		case <-i.ended:
+		case <-i.ackReceived:
+		case <-i.done:
 			return false
 		}
 	}
 	return true
 }
 
-// pause lets more of the answer come.
-func (i *incoming) pause() {
-	wait := i.f.gather()
-	if wait <= 0 {
+// waitBatch waits for more response bytes to collect.
+func (i *incoming) waitBatch() {
+	delay := i.forwarder.batchDelay()
+	if delay <= 0 {
 		return
 	}
-	t := time.NewTimer(wait)
+	t := time.NewTimer(delay)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-i.ended:
+	case <-i.done:
 	}
 }
--- a/internal/forward/outgoing.go
+++ b/internal/forward/outgoing.go
@@ -10,22 +10,23 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// Outcome says what became of a connection that was to be handed on.
+// Outcome is the result of forwarding a connection.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// NotTaken: no router looked at the request or ever will; its caller waits for an
-	// answer.
+	// NotTaken means that no router has processed or will process the request. The caller
+	// still waits for a response.
 	NotTaken Outcome = iota
-	// Ended: an answer was passed on, or the caller has left. The connection is closed.
+	// Ended means that a response was relayed or the caller disconnected. The connection is
+	// closed.
 	Ended
-	// Unknown: the router that took it was lost before its answer began. The request
-	// may have run; its caller waits for an answer.
+	// Unknown means that the stream ended before the response began. The request may have run,
+	// and the caller still waits for a response.
 	Unknown
 )
 
-// String returns the outcome as it stands in logs.
+// String returns the outcome as written in logs.
 func (o Outcome) String() string {
 	switch o {
 	case Ended:
@@ -37,62 +38,63 @@
 	}
 }
 
-// outgoing is a stream that was handed on.
+// outgoing is a stream that this router forwarded to a peer.
 type outgoing struct {
 	clock  *clock.Clock
-	send   Sender
+	sender Sender
 	id     uint64
 	to     string
 	caller net.Conn
-	// answers are what comes back, in order; lost is closed when nothing more can.
-	answers chan *wire.ForwardData
-	lost    chan struct{}
-	once    sync.Once
-	// left is closed when the caller has closed its connection, read when it is not
-	// read from any more.
-	left, read chan struct{}
-	number     uint64
-	// more is what the caller sent since the stream began, kept until its answer begins:
-	// another router may have to be asked.
-	more  []byte
-	began bool
+	// responses holds the messages from the peer in order. done is closed when no more can
+	// arrive.
+	responses chan *wire.ForwardData
+	done      chan struct{}
+	once      sync.Once
+	// callerClosed is closed when the caller closes its connection, readDone when readCaller
+	// returns.
+	callerClosed, readDone chan struct{}
+	seq                    uint64
+	// buffered is what the caller sent since the stream began. It is needed to offer the
+	// request to another peer.
+	buffered  []byte
+	responded bool
 }
 
-// mostKept bounds what is kept of a request's body.
-const mostKept = 128 << 10
+// maxBuffered bounds outgoing.buffered, in bytes.
+const maxBuffered = 128 << 10
 
-// slowCaller bounds one write to a caller.
-const slowCaller = 10 * time.Second
+// callerWriteTimeout bounds one write to a caller.
+const callerWriteTimeout = 10 * time.Second
 
-// Forward hands a connection on with what was read from it, and passes on what comes
-// either way until it ends, or until a time by which the caller has left.
-func (f *Forwarder) Forward(caller net.Conn, first []byte, by table.Version, until time.Time) Result {
-	did := Result{Read: first}
-	for range tries {
-		to, ok := f.choose(f.clock.Now(), did.To)
+// Forward offers a connection and the bytes read from it so far to peers. If one accepts,
+// Forward relays bytes both ways until the connection ends or the deadline passes.
+func (f *Forwarder) Forward(caller net.Conn, head []byte, version table.Version, deadline time.Time) Result {
+	result := Result{Read: head}
+	for range maxAttempts {
+		to, ok := f.choosePeer(f.clock.Now(), result.To)
 		if !ok {
 			break
 		}
-		did.To = to
+		result.To = to
 		o := f.newOutgoing(caller, to)
-		o.send.Send(to, &wire.Forward{Stream: o.id, Edition: by.Edition, Revision: by.Revision, Data: did.Read})
-		did.Outcome = o.run(until)
-		f.forgetOut(o.id)
-		if did.Outcome != NotTaken {
-			return did
+		o.sender.Send(to, &wire.Forward{Stream: o.id, Edition: version.Edition, Revision: version.Revision, Data: result.Read})
+		result.Outcome = o.run(deadline)
+		f.removeOutgoing(o.id)
+		if result.Outcome != NotTaken {
+			return result
 		}
-		did.Read = append(did.Read, o.more...)
-		f.noteBusy(to, f.clock.Now())
+		result.Read = append(result.Read, o.buffered...)
+		f.markBusy(to, f.clock.Now())
 	}
-	return did
+	return result
 }
 
-// Result is what became of a connection that was to be handed on.
+// Result describes a forwarded connection.
 type Result struct {
 	Outcome Outcome
-	// To is the router that was asked last, "" if there was none to ask.
+	// To is the peer that was tried last, "" if there was none.
 	To string
-	// Read is all that has been read of the connection where nobody took it.
+	// Read holds all bytes read from the connection if no peer accepted it.
 	Read []byte
 }
 
@@ -101,135 +103,136 @@
 	defer f.mu.Unlock()
 	f.lastID++
 	o := &outgoing{
-		clock: f.clock, send: f.send, id: f.lastID, to: to, caller: caller, answers: make(chan *wire.ForwardData, mostWaiting),
-		lost: make(chan struct{}), left: make(chan struct{}), read: make(chan struct{}),
+		clock: f.clock, sender: f.sender, id: f.lastID, to: to, caller: caller, responses: make(chan *wire.ForwardData, maxQueued),
+		done: make(chan struct{}), callerClosed: make(chan struct{}), readDone: make(chan struct{}),
 	}
-	f.out[o.id] = o
+	f.outgoing[o.id] = o
 	return o
 }
 
-func (f *Forwarder) forgetOut(id uint64) {
+func (f *Forwarder) removeOutgoing(id uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.out, id)
+	delete(f.outgoing, id)
 }
 
-// take takes in what comes back. It does not wait.
-func (o *outgoing) take(m *wire.ForwardData) {
+// receive queues a message from the peer. It does not block.
+func (o *outgoing) receive(m *wire.ForwardData) {
 	select {
-	case o.answers <- m:
+	case o.responses <- m:
 	default:
 		o.end()
 	}
 }
 
-// end ends a stream of which nothing more can come.
-func (o *outgoing) end() { o.once.Do(func() { close(o.lost) }) }
+// end marks that no more messages can arrive from the peer.
+func (o *outgoing) end() { o.once.Do(func() { close(o.done) }) }
 
-// run passes on what comes either way until the stream ends.
-func (o *outgoing) run(until time.Time) Outcome {
-	// What was read before was bounded in time.
+// run relays bytes both ways until the stream ends.
+func (o *outgoing) run(deadline time.Time) Outcome {
+	// Clear the deadline under which the head was read.
 	_ = o.caller.SetReadDeadline(time.Time{})
 	go o.readCaller()
 	timeout := make(chan struct{})
-	timer := o.clock.AfterFunc(o.clock.Until(until), func() { close(timeout) })
+	timer := o.clock.AfterFunc(o.clock.Until(deadline), func() { close(timeout) })
 	defer timer.Stop()
-	for n := uint64(1); ; n++ {
+	for seq := uint64(1); ; seq++ {
 		select {
-		case m := <-o.answers:
-			if m.Refused && !o.began {
+		case m := <-o.responses:
+			if m.Refused && !o.responded {
 				o.stopReading()
 				return NotTaken
 			}
-			if m.Number != n || !o.pass(m) {
-				return o.broken(true)
+			if m.Number != seq || !o.writeToCaller(m) {
+				return o.abort(true)
 			}
 			if m.End {
 				_ = o.caller.Close()
 				return Ended
 			}
-			if n%takenEvery == 0 {
-				o.send.Send(o.to, &wire.ForwardData{Stream: o.id, Taken: n})
+			if seq%ackInterval == 0 {
+				o.sender.Send(o.to, &wire.ForwardData{Stream: o.id, Taken: seq})
 			}
-		case <-o.left:
-			return o.broken(true)
-		case <-o.lost:
-			return o.broken(false)
+		case <-o.callerClosed:
+			return o.abort(true)
+		case <-o.done:
+			return o.abort(false)
 		case <-timeout:
-			return o.broken(true)
+			return o.abort(true)
 		}
 	}
 }
 
-// pass writes what came back to the caller.
-func (o *outgoing) pass(m *wire.ForwardData) bool {
+// writeToCaller writes response bytes to the caller.
+func (o *outgoing) writeToCaller(m *wire.ForwardData) bool {
 	if len(m.Data) == 0 {
 		return true
 	}
-	o.began = true
-	if err := o.caller.SetWriteDeadline(time.Now().Add(slowCaller)); err != nil {
+	o.responded = true
+	if err := o.caller.SetWriteDeadline(time.Now().Add(callerWriteTimeout)); err != nil {
 		return false
 	}
 	_, err := o.caller.Write(m.Data)
 	return err == nil
 }
 
-// broken ends a stream before its end: the router that has it is told, if it can be, and
-// an answer that has begun is cut off.
-func (o *outgoing) broken(tell bool) Outcome {
+// abort ends the stream early and notifies the peer if requested. A response that has begun is
+// cut off.
+func (o *outgoing) abort(notify bool) Outcome {
 	o.stopReading()
-	if tell {
-		o.number++
-		o.send.Send(o.to, &wire.ForwardData{Stream: o.id, Number: o.number, End: true})
+	if notify {
+		o.seq++
+		o.sender.Send(o.to, &wire.ForwardData{Stream: o.id, Number: o.seq, End: true})
 	}
-	if o.began || o.hasLeft() {
+	if o.responded || o.callerHasClosed() {
 		_ = o.caller.Close()
 		return Ended
 	}
 	return Unknown
 }
 
-func (o *outgoing) hasLeft() bool {
+func (o *outgoing) callerHasClosed() bool {
 	select {
-	case <-o.left:
+	case <-o.callerClosed:
 		return true
 	default:
 		return false
 	}
 }
 
-// stopReading ends the task that reads from the caller.
+// stopReading stops readCaller and waits for it to return.
 func (o *outgoing) stopReading() {
-	o.once.Do(func() { close(o.lost) })
+	o.once.Do(func() { close(o.done) })
 	_ = o.caller.SetReadDeadline(time.Now())
-	<-o.read
+	<-o.readDone
 	_ = o.caller.SetReadDeadline(time.Time{})
 }
 
-// readCaller sends on what the caller still sends: the rest of a body, and that it leaves.
+// readCaller sends the caller's remaining bytes to the peer and detects that the caller
+// disconnects.
 func (o *outgoing) readCaller() {
-	defer close(o.read)
+	defer close(o.readDone)
 	buf := make([]byte, 512)
 	for {
 		n, err := o.caller.Read(buf)
-		if len(o.more) < mostKept {
-			o.more = append(o.more, buf[:n]...)
+		if len(o.buffered) < maxBuffered {
+			o.buffered = append(o.buffered, buf[:n]...)
 		}
 		select {
-		case <-o.lost:
-			// The stream has ended: the reading was stopped, and the caller has not left.
+		case <-o.done:
+			// stopReading interrupted the read; the caller has not disconnected.
 			return
 		default:
 		}
 		if n > 0 {
-			o.number++
-			o.send.Send(o.to, &wire.ForwardData{Stream: o.id, Number: o.number, Data: append([]byte(nil), buf[:n]...)})
-			if len(buf) < pieceSize {
-				buf = make([]byte, pieceSize)
+			o.seq++
+			o.sender.Send(o.to, &wire.ForwardData{Stream: o.id, Number: o.seq, Data: append([]byte(nil), buf[:n]...)})
+			if len(buf) < chunkSize {
+				buf = make([]byte, chunkSize)
 			}
 		}
 		if err != nil {
-			close(o.left)
+			close(o.callerClosed)
 			return
 		}
 	}
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -10,91 +10,92 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// answer writes to one caller. It implements backend.Sink.
-type answer struct {
+// response writes the response to one caller. It implements backend.Sink.
+type response struct {
 	w       http.ResponseWriter
-	dialect *HeaderConfig
+	headers *HeaderConfig
 	id      string
-	// routed answers are passed on as they came.
-	routed bool
-	slow   time.Duration
-	began  bool
-	// events says that the answer is a stream of events.
-	events  bool
-	control *http.ResponseController
+	// routed says that the request matched a route; its response is relayed unchanged.
+	routed       bool
+	writeTimeout time.Duration
+	started      bool
+	// eventStream says that the response is a stream of server-sent events.
+	eventStream bool
+	controller  *http.ResponseController
 }
 
-func (s *Server) answerTo(w http.ResponseWriter, a *ask) *answer {
-	return &answer{w: w, dialect: &s.opt.dialect, id: a.id, routed: a.route != nil, slow: s.callers.Load().IOTimeout}
+func (s *Server) newResponse(w http.ResponseWriter, in *inboundRequest) *response {
+	return &response{w: w, headers: &s.opt.headers, id: in.id, routed: in.route != nil, writeTimeout: s.limits.Load().IOTimeout}
 }
 
 // Begin implements backend.Sink.
-func (a *answer) Begin(status int, header http.Header) {
-	h := a.w.Header()
+func (resp *response) Begin(status int, header http.Header) {
+	h := resp.w.Header()
 	for name, values := range header {
 		h[name] = values
 	}
-	if a.routed {
-		keepAsItCame(h, a.dialect.RequestID, a.id)
+	if resp.routed {
+		setRoutedHeaders(h, resp.headers.RequestID, resp.id)
 	} else {
 		h.Set(verdict.Header, verdict.Ran.String())
-		h.Set(backend.HeaderRequestID, a.id)
+		h.Set(backend.HeaderRequestID, resp.id)
 	}
-	a.events = h.Get("Content-Type") == "text/event-stream"
-	a.control = http.NewResponseController(a.w)
-	a.began = true
-	a.w.WriteHeader(status)
+	resp.eventStream = h.Get("Content-Type") == "text/event-stream"
+	resp.controller = http.NewResponseController(resp.w)
+	resp.started = true
+	resp.w.WriteHeader(status)
 }
 
-// keepAsItCame keeps the server from adding a content type by its own guess.
-func keepAsItCame(h http.Header, idHeader, id string) {
-	if _, given := h["Content-Type"]; !given {
+// setRoutedHeaders sets the request ID and stops net/http from guessing a content type.
+func setRoutedHeaders(h http.Header, idHeader, id string) {
+	if _, present := h["Content-Type"]; !present {
 		h["Content-Type"] = nil
 	}
 	h.Set(idHeader, id)
 }
 
-// Write implements backend.Sink. A caller that does not read is cut off.
-func (a *answer) Write(p []byte) (int, error) {
-	_ = a.control.SetWriteDeadline(time.Now().Add(a.slow))
-	n, err := a.w.Write(p)
+// Write implements backend.Sink. A caller that does not read within the write timeout is
+// disconnected.
+func (resp *response) Write(p []byte) (int, error) {
+	_ = resp.controller.SetWriteDeadline(time.Now().Add(resp.writeTimeout))
+	n, err := resp.w.Write(p)
 	if err != nil {
-		return n, fmt.Errorf("front: write answer: %w", err)
+		return n, fmt.Errorf("front: write response: %w", err)
 	}
 	return n, nil
 }
 
 // Flush implements backend.Sink.
-func (a *answer) Flush() error {
-	if err := a.control.Flush(); err != nil {
-		return fmt.Errorf("front: flush answer: %w", err)
+func (resp *response) Flush() error {
+	if err := resp.controller.Flush(); err != nil {
+		return fmt.Errorf("front: flush response: %w", err)
 	}
 	return nil
 }
 
 // Trailer implements backend.Sink.
-func (a *answer) Trailer(header http.Header) {
+func (resp *response) Trailer(header http.Header) {
 	for name, values := range header {
-		a.w.Header()[http.TrailerPrefix+name] = values
+		resp.w.Header()[http.TrailerPrefix+name] = values
 	}
 }
 
-// fail tells the caller of a failure: by a whole refusal if nothing was sent
-// yet, else by an error event at the end of a stream that is then cut.
-func (a *answer) fail(e *verdict.Error) {
-	if !a.began {
-		if e.Status != statusClientGone {
-			writeProblem(a.w, a.dialect, a.id, e)
+// fail reports a failure to the caller: as a problem document if nothing has been sent,
+// otherwise as an error event at the end of the stream.
+func (resp *response) fail(failure *verdict.Error) {
+	if !resp.started {
+		if failure.Status != statusClientClosedRequest {
+			writeProblem(resp.w, resp.headers, resp.id, failure)
 		}
 		return
 	}
-	if a.routed || !a.events || e.Status == statusClientGone {
+	if resp.routed || !resp.eventStream || failure.Status == statusClientClosedRequest {
 		return
 	}
-	data, err := json.Marshal(problemOf(a.id, e))
+	data, err := json.Marshal(problemOf(resp.id, failure))
 	if err != nil {
 		return
 	}
-	_, _ = fmt.Fprintf(a.w, "event: error\ndata: %s\n\n", data)
-	_ = a.control.Flush()
+	_, _ = fmt.Fprintf(resp.w, "event: error\ndata: %s\n\n", data)
+	_ = resp.controller.Flush()
 }
--- a/internal/front/ask.go
+++ b/internal/front/ask.go
@@ -20,95 +20,96 @@
 
 // Headers that callers may send.
 const (
-	// HeaderDeadline is the deadline in milliseconds from the arrival.
+	// HeaderDeadline is the time until the deadline, in milliseconds from arrival.
 	HeaderDeadline = "Yarrowmast-Deadline-Ms"
-	// HeaderNotRepeatable marks a request as not to be repeated: true or false.
+	// HeaderNotRepeatable is true if the request must not run twice.
 	HeaderNotRepeatable = "Yarrowmast-Not-Repeatable"
-	// HeaderPriority orders an account's own requests, from 0 to 9.
+	// HeaderPriority orders the requests of one account, from 0 to 9.
 	HeaderPriority = "Yarrowmast-Priority"
-	// HeaderIdempotencyKey is the caller's idempotency key.
+	// HeaderIdempotencyKey is the request's idempotency key.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderIdempotencyKeyTime is when the key was first used, in RFC 3339.
+	// HeaderIdempotencyKeyTime is when the key was first used, in RFC 3339 format.
 	HeaderIdempotencyKeyTime = "Idempotency-Key-Time"
-	maxKeyLength             = 256
+	maxIdempotencyKeyLength  = 256
 	maxPriority              = 9
-	// prefixBytes is how much of a body is hashed to find cached prompts.
-	prefixBytes = 256
+	// hashedPrefixBytes is the length of the body's prefix that is hashed to find backend
+	// servers with a cached prompt.
+	hashedPrefixBytes = 256
 )
 
-// ask is a caller's request as it was understood.
-type ask struct {
-	id       string
-	account  table.Account
-	model    string
-	method   string
-	host     string
-	path     string
-	body     []byte
-	events   bool
-	once     bool
-	priority int
-	arrived  time.Time
-	deadline time.Time
-	key      string
-	keyTime  time.Time
-	// route is nil for the own interfaces.
-	route *routing
-	// hash is the digest, 0 before it was worked out.
-	hash uint64
+// inboundRequest is a caller's request after parsing.
+type inboundRequest struct {
+	id             string
+	account        table.Account
+	model          string
+	method         string
+	host           string
+	path           string
+	body           []byte
+	mayStream      bool
+	notRepeatable  bool
+	priority       int
+	arrived        time.Time
+	deadline       time.Time
+	idempotencyKey string
+	keyFirstUsed   time.Time
+	// route is nil for requests to the built-in API.
+	route *routeState
+	// cachedDigest is the result of digest, 0 before its first call.
+	cachedDigest uint64
 }
 
-// authenticate finds the account by the key's hash. Keys are compared by a
-// look-up of their SHA-256, whose timing tells nothing of any key.
+// authenticate returns the account of the request's key. Keys are looked up by their SHA-256
+// hash, so that the timing reveals nothing about them.
 func authenticate(r *http.Request, t *table.Table) (table.Account, *verdict.Error) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
 		return table.Account{}, errNoKey
 	}
-	a, ok := accountOf(t, []byte(key))
+	account, ok := accountByKey(t, []byte(key))
 	if !ok {
 		return table.Account{}, errWrongKey
 	}
-	return a, nil
+	return account, nil
 }
 
-// accountOf returns the account that has a key.
-func accountOf(t *table.Table, key []byte) (table.Account, bool) {
+// accountByKey returns the account with the given key.
+func accountByKey(t *table.Table, key []byte) (table.Account, bool) {
 	sum := sha256.Sum256(key)
 	return t.AccountByKeyHash(hex.EncodeToString(sum[:]))
 }
 
-// readHeaders reads what the caller's headers say of the request.
-func (s *Server) readHeaders(a *ask, r *http.Request) *verdict.Error {
-	wait := s.callers.Load().Deadline
+// readHeaders reads the deadline, priority, idempotency key and repeatability.
+func (s *Server) readHeaders(in *inboundRequest, r *http.Request) *verdict.Error {
+	timeout := s.limits.Load().Deadline
 	if v := r.Header.Get(HeaderDeadline); v != "" {
 		ms, err := strconv.ParseInt(v, 10, 64)
 		if err != nil || ms <= 0 {
 			return badHeader(HeaderDeadline)
 		}
-		wait = boundedWait(ms)
+		timeout = clampTimeout(ms)
 	}
-	a.deadline = a.arrived.Add(wait)
+	in.deadline = in.arrived.Add(timeout)
 	if v := r.Header.Get(HeaderNotRepeatable); v != "" {
 		once, err := strconv.ParseBool(v)
 		if err != nil {
 			return badHeader(HeaderNotRepeatable)
 		}
-		a.once = once
+		in.notRepeatable = once
 	}
 	if v := r.Header.Get(HeaderPriority); v != "" {
 		p, err := strconv.Atoi(v)
 		if err != nil || p < 0 || p > maxPriority {
 			return badHeader(HeaderPriority)
 		}
-		a.priority = p
+		in.priority = p
 	}
-	return readKey(a, r)
+	return readIdempotencyKey(in, r)
 }
 
-func readKey(a *ask, r *http.Request) *verdict.Error {
-	a.key = r.Header.Get(HeaderIdempotencyKey)
-	if len(a.key) > maxKeyLength {
+func readIdempotencyKey(in *inboundRequest, r *http.Request) *verdict.Error {
+	in.idempotencyKey = r.Header.Get(HeaderIdempotencyKey)
+	if len(in.idempotencyKey) > maxIdempotencyKeyLength {
 		return badHeader(HeaderIdempotencyKey)
 	}
 	v := r.Header.Get(HeaderIdempotencyKeyTime)
@@ -119,7 +120,7 @@
 	if err != nil {
 		return badHeader(HeaderIdempotencyKeyTime)
 	}
-	a.keyTime = t
+	in.keyFirstUsed = t
 	return nil
 }
 
@@ -129,15 +130,15 @@
 	return &e
 }
 
-// readBody reads the whole body, since only a whole one may be passed on.
+// readBody reads the whole body. An incomplete body must not reach a backend server.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *verdict.Error) {
 	limit := s.maxBody()
 	if r.ContentLength > limit {
-		return nil, errBodyTooLong
+		return nil, errBodyTooLarge
 	}
-	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(s.callers.Load().IOTimeout))
-	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
+	controller := http.NewResponseController(w)
+	_ = controller.SetReadDeadline(time.Now().Add(s.limits.Load().IOTimeout))
+	defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
 	var buf bytes.Buffer
 	if r.ContentLength > 0 {
 		buf.Grow(int(r.ContentLength) + bytes.MinRead)
@@ -146,15 +147,15 @@
 	if err == nil {
 		return buf.Bytes(), nil
 	}
-	var tooLong *http.MaxBytesError
-	if errors.As(err, &tooLong) {
-		return nil, errBodyTooLong
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return nil, errBodyTooLarge
 	}
-	return nil, errBody.Wrap(err)
+	return nil, errBodyCut.Wrap(err)
 }
 
-// modelOf reads the model's name out of a body and checks that it is JSON.
-func modelOf(body []byte) (string, *verdict.Error) {
+// parseModel checks that the body is JSON and returns its model field.
+func parseModel(body []byte) (string, *verdict.Error) {
 	var b struct {
 		Model string `json:"model"`
 	}
@@ -171,10 +172,11 @@
 	return b.Model, nil
 }
 
-// prefixOf hashes the beginning of a body, where the prompt stands.
-func prefixOf(body []byte) uint64 {
-	if len(body) < prefixBytes {
+// hashPrefix returns a hash of the start of the body, which holds the prompt, or 0 if the body
+// is shorter than hashedPrefixBytes.
+func hashPrefix(body []byte) uint64 {
+	if len(body) < hashedPrefixBytes {
 		return 0
 	}
-	return xxhash.Sum64(body[:prefixBytes])
+	return xxhash.Sum64(body[:hashedPrefixBytes])
 }
--- a/internal/front/attempt.go
+++ b/internal/front/attempt.go
@@ -9,81 +9,83 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-func (s *Server) attempt(ctx context.Context, a *ask, r *http.Request, out *answer, o *Outcome) (backend.Result, *verdict.Error) {
-	o.Attempts++
-	req := a.request()
-	req.Waited, req.Attempt = o.Waited, o.Attempts-1
-	asked := s.clock().Now()
-	g, err := s.scheduler.Acquire(ctx, req)
+// attempt acquires a slot, sends the request to its backend server and relays the response.
+func (s *Server) attempt(ctx context.Context, in *inboundRequest, r *http.Request, resp *response, outcome *Outcome) (backend.Result, *verdict.Error) {
+	outcome.Attempts++
+	req := in.schedulerRequest()
+	req.Waited, req.Attempt = outcome.Waited, outcome.Attempts-1
+	acquireStart := s.clock().Now()
+	grant, err := s.scheduler.Acquire(ctx, req)
 	if err != nil {
-		o.Waited += s.clock().Since(asked)
-		return backend.Result{}, acquireFailed(ctx, err)
+		outcome.Waited += s.clock().Since(acquireStart)
+		return backend.Result{}, acquireError(ctx, err)
 	}
-	o.Waited = g.Waited
+	outcome.Waited = grant.Waited
 	started := s.clock().Now()
-	result := s.backend.Do(ctx, s.call(a, r, g), out)
-	o.Tokens = s.tokens(a, g, started)
-	s.scheduler.Release(g, Usage{
-		Tokens: o.Tokens, Sent: result.Sent, Unreachable: result.Unreachable,
+	result := s.backend.Do(ctx, s.backendCall(in, r, grant), resp)
+	outcome.Tokens = s.chargedTokens(in, grant, started)
+	s.scheduler.Release(grant, Usage{
+		Tokens: outcome.Tokens, Sent: result.Sent, Unreachable: result.Unreachable,
 		Status: result.Status, Error: result.Err, Stalled: result.Stalled,
-		Request: a.id, Digest: a.digest,
+		Request: in.id, Digest: in.digest,
 	})
-	if a.route != nil {
-		a.route.tried(g, result)
+	if in.route != nil {
+		in.route.recordAttempt(grant, result)
 	}
-	s.logAttempt(a, g, o, result, started)
+	s.logAttempt(in, grant, outcome, result, started)
 	if result.Err != nil {
 		return result, result.Err
 	}
-	o.Status = result.Status
-	o.Verdict = verdict.Ran.String()
-	o.FirstByte = result.FirstByte.Sub(a.arrived)
+	outcome.Status = result.Status
+	outcome.Verdict = verdict.Ran.String()
+	outcome.FirstByte = result.FirstByte.Sub(in.arrived)
 	return result, nil
 }
 
-func (s *Server) logAttempt(a *ask, g Grant, o *Outcome, result backend.Result, started time.Time) {
+func (s *Server) logAttempt(in *inboundRequest, grant Grant, outcome *Outcome, result backend.Result, started time.Time) {
 	code := ""
 	if result.Err != nil {
 		code = result.Err.Code
 	}
-	first := int64(-1)
+	firstByteMillis := int64(-1)
 	if !result.FirstByte.IsZero() {
-		first = result.FirstByte.Sub(started).Milliseconds()
+		firstByteMillis = result.FirstByte.Sub(started).Milliseconds()
 	}
-	s.opt.log.Info("attempt_end", "request", a.id, "attempt", o.Attempts, "backend", g.Backend, "why", g.Reason, "copied_from", g.CopyPrefixFrom,
-		"ahead", g.TokensAhead, "running", g.Running, "expected_ms", g.ExpectedFirstEvent.Milliseconds(), "first_ms", first,
+	s.opt.log.Info("attempt_end", "request", in.id, "attempt", outcome.Attempts, "backend", grant.Backend, "why", grant.Reason, "copied_from", grant.CopyPrefixFrom,
+		"ahead", grant.TokensAhead, "running", grant.Running, "expected_ms", grant.ExpectedFirstEvent.Milliseconds(), "first_ms", firstByteMillis,
 		"total_ms", s.clock().Since(started).Milliseconds(), "sent", result.Sent, "events", result.LastEvent, "code", code)
-	s.logSaid(a, g, o, result.Notice)
+	s.logNotice(in, grant, outcome, result.Notice)
 }
 
-// logSaid logs what the backend server said of itself, if anything.
-func (s *Server) logSaid(a *ask, g Grant, o *Outcome, said backend.Notice) {
-	if said == (backend.Notice{}) {
+// logNotice logs what the backend server announced about itself, if anything.
+func (s *Server) logNotice(in *inboundRequest, grant Grant, outcome *Outcome, notice backend.Notice) {
+	if notice == (backend.Notice{}) {
 		return
 	}
-	s.opt.log.Info("backend_said", "request", a.id, "attempt", o.Attempts, "backend", g.Backend,
-		"leaving", said.Leaving, "rest_ms", said.RetryAfter.Milliseconds(), "unread", said.Invalid)
+	s.opt.log.Info("backend_said", "request", in.id, "attempt", outcome.Attempts, "backend", grant.Backend,
+		"leaving", notice.Leaving, "rest_ms", notice.RetryAfter.Milliseconds(), "unread", notice.Invalid)
 }
 
-// tokens is what the attempt is charged: an engine's tokens, or a plain
-// service's time in milliseconds.
-func (s *Server) tokens(a *ask, g Grant, started time.Time) int64 {
-	if a.events {
-		return g.Served.Load()
+// chargedTokens returns what an attempt costs the account: the tokens that were generated, or
+// the duration in milliseconds for a plain service.
+func (s *Server) chargedTokens(in *inboundRequest, grant Grant, started time.Time) int64 {
+	if in.mayStream {
+		return grant.Served.Load()
 	}
 	return max(1, s.clock().Since(started).Milliseconds())
 }
 
-// acquireFailed tells a deadline from a caller that left.
-func acquireFailed(ctx context.Context, err error) *verdict.Error {
+// acquireError converts an error of Scheduler. It distinguishes an expired deadline from a
+// disconnected caller.
+func acquireError(ctx context.Context, err error) *verdict.Error {
 	if ctx.Err() == nil {
-		return asVerdict(err)
+		return toVerdictError(err)
 	}
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		return verdict.New(verdict.PhaseQueue, http.StatusGatewayTimeout, "deadline", "the deadline passed while the request waited for a slot")
 	}
-	return verdict.New(verdict.PhaseQueue, statusClientGone, "caller-gone", "the caller went away")
+	return verdict.New(verdict.PhaseQueue, statusClientClosedRequest, "caller-gone", "the caller went away")
 }
 
-// statusClientGone is logged for callers that left; nobody receives it.
-const statusClientGone = 499
+// statusClientClosedRequest is logged for callers that disconnected; it is never sent.
+const statusClientClosedRequest = 499
--- a/internal/front/connections.go
+++ b/internal/front/connections.go
@@ -12,111 +12,107 @@
 )
 
 const (
-	// closingPart is the part of the bound on callers' connections from which
-	// answers end their connections: callers that open a connection for each
-	// request and leave it open would else fill the bound with idle ones.
-	closingPart = 0.5
-	// refusingPart is the part of the bound by which it may be exceeded by
-	// connections that are only told to come back, leastRefusing their least
-	// number: to read a request's head and answer takes some milliseconds.
-	refusingPart  = 0.125
-	leastRefusing = 16
-	// fullFor is for how long a router that refused a connection tells the
-	// balancer that it is not ready: twice the second between two questions.
-	fullFor = 2 * time.Second
+	// keepAliveFraction is the fraction of the connection limit above which responses close
+	// their connections. Otherwise idle connections could use up the limit.
+	keepAliveFraction = 0.5
+	// extraFraction is the fraction of the connection limit by which it may be exceeded to
+	// answer new connections with a refusal; minExtra is the least number of such connections.
+	extraFraction = 0.125
+	minExtra      = 16
+	// fullPeriod is how long a router reports not ready after it refused a connection. It must
+	// span two health checks of the load balancer, one second apart.
+	fullPeriod = 2 * time.Second
 )
 
-// connections keeps account of callers' connections. A newcomer beyond the
-// bound takes the place of the connection that has been idle for longest; where
-// none is idle, its request is refused. So nobody waits unread behind
-// connections that rest.
+// connections tracks callers' connections and enforces their limit. At the limit, a new
+// connection replaces the one that has been idle the longest. If none is idle, its request is
+// refused.
 type connections struct {
-	// refused and evicted count since the start: newcomers that were refused,
-	// and idle connections that were closed for a newcomer.
+	// refused and evicted count the new connections refused and the idle connections closed in
+	// favor of new ones.
 	refused, evicted atomic.Int64
 
 	mu sync.Mutex
-	// open is how many are open, those that are only refused among them.
+	// open is the number of open connections, including those that are being refused.
 	open int
-	// idle are the connections without a request, the one that has been so for
-	// longest first.
+	// idle lists the connections without a request, least recently active first.
 	idle list.List
-	// lastRefused is when a newcomer was last refused.
+	// lastRefused is when a new connection was last refused.
 	lastRefused time.Time
 }
 
-// conn is one caller's connection.
+// conn is a caller's connection.
 type conn struct {
 	net.Conn
-	all *connections
-	// refuse says that its request is refused.
+	conns *connections
+	// refuse says to refuse the request on this connection.
 	refuse bool
-	// unread is what was read of it before the HTTP server had it; screened says that
-	// its first request has been screened then.
-	unread   []byte
-	screened bool
-	// forwarded says that another router handed it on.
+	// buffered holds bytes that were read before the HTTP server took over. admissionChecked
+	// says that the first request has already passed the early admission check.
+	buffered         []byte
+	admissionChecked bool
+	// forwarded says that another router forwarded the connection.
 	forwarded bool
-	// place is its element in the idle list, nil while it has a request; closed
-	// says that it has been closed. Both are guarded by all.mu.
-	place  *list.Element
-	closed bool
+	// idleElem is the element in the idle list, nil while a request is in progress. idleElem
+	// and closed are guarded by conns.mu.
+	idleElem *list.Element
+	closed   bool
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
-	if len(c.unread) > 0 {
-		n := copy(p, c.unread)
-		c.unread = c.unread[n:]
+	if len(c.buffered) > 0 {
+		n := copy(p, c.buffered)
+		c.buffered = c.buffered[n:]
 		return n, nil
 	}
 	return c.Conn.Read(p)
 }
 
-// wasScreened reports whether the request that is read now was screened before the HTTP
-// server had its connection.
-func (c *conn) wasScreened() bool {
-	was := c != nil && c.screened
-	if was {
-		c.screened = false
+// consumeAdmissionCheck reports whether the current request has already passed the early
+// admission check, and clears the mark for later requests.
+func (c *conn) consumeAdmissionCheck() bool {
+	checked := c != nil && c.admissionChecked
+	if checked {
+		c.admissionChecked = false
 	}
-	return was
+	return checked
 }
 
-// wasForwarded reports whether another router handed the connection on.
+// wasForwarded reports whether another router forwarded the connection.
 func (c *conn) wasForwarded() bool { return c != nil && c.forwarded }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.all.mu.Lock()
+	c.conns.mu.Lock()
 	if !c.closed {
 		c.closed = true
-		c.all.open--
-		c.all.unlist(c)
+		c.conns.open--
+		c.conns.removeIdle(c)
 	}
-	c.all.mu.Unlock()
+	c.conns.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// unlist takes a connection out of the idle list.
-func (cs *connections) unlist(c *conn) {
-	if c.place != nil {
-		cs.idle.Remove(c.place)
-		c.place = nil
+// removeIdle removes a connection from the idle list.
+func (cs *connections) removeIdle(c *conn) {
+	if c.idleElem != nil {
+		cs.idle.Remove(c.idleElem)
+		c.idleElem = nil
 	}
 }
 
-// admit takes in a new connection while most may be open, 0 for any number. It
-// returns nil if the connection cannot even be refused.
-func (cs *connections) admit(nc net.Conn, most int, now time.Time) *conn {
-	c := &conn{Conn: nc, all: cs}
+// add registers a new connection. A limit of 0 means no limit. It returns nil if there is no
+// capacity even for a refusal.
+func (cs *connections) add(nc net.Conn, limit int, now time.Time) *conn {
+	c := &conn{Conn: nc, conns: cs}
 	var oldest *conn
 	cs.mu.Lock()
-	full := most > 0 && cs.open >= most
+	full := limit > 0 && cs.open >= limit
 	if full {
-		if front := cs.idle.Front(); front != nil {
-			oldest = front.Value.(*conn)
-			cs.unlist(oldest)
+		if elem := cs.idle.Front(); elem != nil {
+			oldest = elem.Value.(*conn)
+			cs.removeIdle(oldest)
 			oldest.closed = true
 			cs.open--
 		} else {
@@ -124,8 +120,8 @@
 			cs.lastRefused = now
 		}
 	}
-	beyond := c.refuse && cs.open >= most+refusing(most)
-	if !beyond {
+	overflow := c.refuse && cs.open >= limit+extraConnections(limit)
+	if !overflow {
 		cs.open++
 	}
 	cs.mu.Unlock()
@@ -136,31 +132,31 @@
 	if c.refuse {
 		cs.refused.Add(1)
 	}
-	if beyond {
+	if overflow {
 		return nil
 	}
 	return c
 }
 
-// refusing is how many connections beyond the bound are answered with a refusal.
-func refusing(most int) int { return max(leastRefusing, int(refusingPart*float64(most))) }
+// extraConnections returns how many connections beyond the limit may be open to be refused.
+func extraConnections(limit int) int { return max(minExtra, int(extraFraction*float64(limit))) }
 
-// crowded reports whether so many connections are open that answers end theirs.
-func (cs *connections) crowded(most int) bool {
+// nearLimit reports whether responses should close their connections.
+func (cs *connections) nearLimit(limit int) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return most > 0 && float64(cs.open) >= closingPart*float64(most)
+	return limit > 0 && float64(cs.open) >= keepAliveFraction*float64(limit)
 }
 
-// full reports whether a newcomer was refused lately.
-func (cs *connections) full(now time.Time) bool {
+// recentlyFull reports whether a connection was refused within fullPeriod.
+func (cs *connections) recentlyFull(now time.Time) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return !cs.lastRefused.IsZero() && now.Sub(cs.lastRefused) < fullFor
+	return !cs.lastRefused.IsZero() && now.Sub(cs.lastRefused) < fullPeriod
 }
 
-// stateChanged implements http.Server.ConnState.
-func (cs *connections) stateChanged(nc net.Conn, state http.ConnState) {
+// onStateChange implements http.Server.ConnState.
+func (cs *connections) onStateChange(nc net.Conn, state http.ConnState) {
 	c := callerConn(nc)
 	if c == nil {
 		return
@@ -169,31 +165,29 @@
 	defer cs.mu.Unlock()
 	switch {
 	case state != http.StateIdle:
-		cs.unlist(c)
-	case c.place == nil && !c.closed:
-		c.place = cs.idle.PushBack(c)
+		cs.removeIdle(c)
+	case c.idleElem == nil && !c.closed:
+		c.idleElem = cs.idle.PushBack(c)
 	}
 }
 
-// isClosed reports whether a connection was closed, as happens to one that is
-// idle when a newcomer takes its place.
+// isClosed reports whether a connection was closed, for example evicted while idle.
 func (cs *connections) isClosed(c *conn) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return c.closed
 }
 
-// ConnectionCounts says how many connections callers have, and what became of
-// those beyond the bound.
+// ConnectionCounts holds statistics on callers' connections.
 type ConnectionCounts struct {
-	// Open are open now, Idle of these have no request.
+	// Open is the number of open connections, Idle of those without a request.
 	Open, Idle int
-	// Refused newcomers were told to come back, and Evicted idle connections
-	// were closed for a newcomer, since the start.
+	// Refused and Evicted count, since the start, the new connections refused and the idle
+	// connections closed in favor of new ones.
 	Refused, Evicted int64
 }
 
-// Connections returns the counts of callers' connections.
+// Connections returns statistics on callers' connections.
 func (s *Server) Connections() ConnectionCounts {
 	cs := &s.connections
 	cs.mu.Lock()
@@ -201,19 +195,19 @@
 	return ConnectionCounts{Open: cs.open, Idle: cs.idle.Len(), Refused: cs.refused.Load(), Evicted: cs.evicted.Load()}
 }
 
-// ConnectionsFull reports whether callers were refused lately because as many connections
-// were in use as there may be.
-func (s *Server) ConnectionsFull() bool { return s.connections.full(s.clock().Now()) }
+// ConnectionsFull reports whether a connection was refused recently because the limit was
+// reached.
+func (s *Server) ConnectionsFull() bool { return s.connections.recentlyFull(s.clock().Now()) }
 
-// connKey is the context's key of a request's connection.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// withConn implements http.Server.ConnContext.
-func withConn(ctx context.Context, nc net.Conn) context.Context {
+// connContext implements http.Server.ConnContext.
+func connContext(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, callerConn(nc))
 }
 
-// callerConn returns the connection below TLS, nil for one of another listener.
+// callerConn returns the connection, unwrapped from TLS, or nil if it is not a conn.
 func callerConn(nc net.Conn) *conn {
 	if t, ok := nc.(*tls.Conn); ok {
 		nc = t.NetConn()
@@ -228,9 +222,9 @@
 	return c
 }
 
-// turnedAway reports whether a request is not to be handled because of its
-// connection, and answers it unless its caller has seen the connection end.
-func (s *Server) turnedAway(w http.ResponseWriter, r *http.Request) bool {
+// rejectConnection reports whether the request must not be handled because its connection was
+// evicted or is over the limit. It sends the refusal, except to evicted connections.
+func (s *Server) rejectConnection(w http.ResponseWriter, r *http.Request) bool {
 	c := connOf(r)
 	switch {
 	case c == nil:
@@ -238,21 +232,20 @@
 	case s.connections.isClosed(c):
 		panic(http.ErrAbortHandler)
 	case c.refuse:
-		left, _ := s.statedTime(r)
-		s.refuseUnrouted(w, r, errFull.WithRetryAfter(RetryDelay(left)))
+		timeout, _ := s.requestTimeout(r)
+		s.refuseUnrouted(w, r, errConnectionsFull.WithRetryAfter(RetryDelay(timeout)))
 		return true
 	default:
 		return false
 	}
 }
 
-// logCrowd logs what became of connections beyond the bound, once a second at
-// most.
-func (s *Server) logCrowd() {
+// logConnections logs refused and evicted connections, at most once per throttleInterval.
+func (s *Server) logConnections() {
 	counts := s.Connections()
 	total := counts.Refused + counts.Evicted
-	if since, due := s.crowdLog.due(s.clock().Now(), total); due && since > 0 {
+	if added, due := s.connectionLog.due(s.clock().Now(), total); due && added > 0 {
 		s.opt.log.Warn("callers_crowded", "open", counts.Open, "idle", counts.Idle,
-			"refused", counts.Refused, "evicted", counts.Evicted, "since_last", since)
+			"refused", counts.Refused, "evicted", counts.Evicted, "since_last", added)
 	}
 }
--- a/internal/front/dialect.go
+++ b/internal/front/dialect.go
@@ -13,44 +13,41 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// HeaderConfig names the headers that callers of routes speak. An empty name means
-// that the header is not spoken.
+// HeaderConfig names the headers of routed requests. An empty name disables the header.
 type HeaderConfig struct {
-	// RequestID carries the caller's own id of the request.
+	// RequestID is the caller's ID of the request.
 	RequestID string
-	// Deadline is how long the caller waits, in milliseconds.
+	// Deadline is the time until the deadline, in milliseconds.
 	Deadline string
-	// Key carries the client account's key, after KeyPrefix.
+	// Key is the client account's key, preceded by KeyPrefix.
 	Key       string
 	KeyPrefix string
-	// Tokens states the prompt's size and the most that may be generated,
-	// separated by a comma.
+	// Tokens is the number of prompt tokens and the maximum number of output tokens, separated
+	// by a comma.
 	Tokens string
-	// Parts lists the parts of the prompt in their order, each as ID:TOKENS
-	// with the ID in hex, separated by commas. The last one is the request's
-	// own.
+	// Parts lists the parts of the prompt in order, separated by commas, each as ID:TOKENS
+	// with a hexadecimal ID. The last part is unique to the request.
 	Parts string
-	// LastEvent names the last event of a stream that the caller has.
+	// LastEvent is the number of the last stream event that the caller received.
 	LastEvent string
-	// Reserved are the headers that backend servers obey and only the fleet may
-	// set: a caller's are dropped. All others are a caller's own and are passed
-	// on, but for Key and those that concern one connection only.
+	// Reserved lists headers that only routers may send to backend servers. They are removed
+	// from callers' requests.
 	Reserved []string
-	// FractionalRetryAfter says that callers understand fractions of a second.
+	// FractionalRetryAfter says that callers accept fractions of a second in Retry-After.
 	FractionalRetryAfter bool
 }
 
-// Headers that callers of routes may send unless a HeaderConfig says otherwise.
+// Header names of DefaultHeaders.
 const (
 	// HeaderTokens is HeaderConfig.Tokens.
 	HeaderTokens = "Yarrowmast-Tokens"
 	// HeaderParts is HeaderConfig.Parts.
 	HeaderParts = "Yarrowmast-Parts"
-	// HeaderLastEvent is HeaderConfig.LastEvent, as server-sent events have it.
+	// HeaderLastEvent is HeaderConfig.LastEvent, as in server-sent events.
 	HeaderLastEvent = "Last-Event-ID"
 )
 
-// DefaultHeaders returns the headers of the product's own interface.
+// DefaultHeaders returns the project's own header names.
 func DefaultHeaders() HeaderConfig {
 	return HeaderConfig{
 		RequestID: backend.HeaderRequestID, Deadline: HeaderDeadline, Key: "Authorization", KeyPrefix: "Bearer ",
@@ -59,41 +56,41 @@
 	}
 }
 
-// retryAfter formats a time to come back.
-func (d *HeaderConfig) retryAfter(after time.Duration) string {
-	if d.FractionalRetryAfter {
+// retryAfter formats the value of a Retry-After header.
+func (c *HeaderConfig) retryAfter(after time.Duration) string {
+	if c.FractionalRetryAfter {
 		return strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
 	}
 	return strconv.Itoa(int(math.Ceil(after.Seconds())))
 }
 
-// prompt is what a caller states of its prompt.
+// prompt holds the prompt's sizes that the caller stated.
 type prompt struct {
-	// tokens is the prompt's size, output the most to be generated.
+	// tokens is the size of the prompt, output the maximum size of the output.
 	tokens, output int64
-	// shared is the size of the parts that other requests share.
+	// shared is the number of prompt tokens in parts shared with other requests.
 	shared int64
 	// prefix is a hash of the shared parts, 0 if there are none.
 	prefix uint64
 }
 
-// readPrompt reads what the headers state of the prompt.
-func (d *HeaderConfig) readPrompt(h http.Header) (prompt, *verdict.Error) {
+// parsePrompt reads the prompt's sizes and parts from the headers.
+func (c *HeaderConfig) parsePrompt(h http.Header) (prompt, *verdict.Error) {
 	var p prompt
-	if d.Tokens != "" {
+	if c.Tokens != "" {
 		var ok bool
-		if p, ok = statedTokens(h.Get(d.Tokens)); !ok {
-			return p, badHeader(d.Tokens)
+		if p, ok = parseTokens(h.Get(c.Tokens)); !ok {
+			return p, badHeader(c.Tokens)
 		}
 	}
-	if text := h.Get(d.Parts); d.Parts != "" && text != "" {
-		return p, p.readParts(text, d.Parts)
+	if text := h.Get(c.Parts); c.Parts != "" && text != "" {
+		return p, p.addParts(text, c.Parts)
 	}
 	return p, nil
 }
 
-// statedTokens reads the sizes that a caller states, "" for none.
-func statedTokens(text string) (p prompt, ok bool) {
+// parseTokens parses HeaderConfig.Tokens. Empty text yields zero sizes.
+func parseTokens(text string) (p prompt, ok bool) {
 	if text == "" {
 		return p, true
 	}
@@ -106,13 +103,13 @@
 	return p, err1 == nil && err2 == nil && p.tokens >= 0 && p.output >= 0
 }
 
-// readParts adds up all parts but the last, which is the request's own.
-func (p *prompt) readParts(text, header string) *verdict.Error {
-	own := strings.LastIndexByte(text, ',')
-	if own < 0 {
+// addParts sums the sizes of all parts but the last, which is unique to the request.
+func (p *prompt) addParts(text, header string) *verdict.Error {
+	last := strings.LastIndexByte(text, ',')
+	if last < 0 {
 		return nil
 	}
-	shared := text[:own]
+	shared := text[:last]
 	for part := range strings.SplitSeq(shared, ",") {
 		_, size, ok := strings.Cut(part, ":")
 		n, err := strconv.ParseInt(strings.TrimSpace(size), 10, 64)
--- a/internal/front/digest.go
+++ b/internal/front/digest.go
@@ -2,28 +2,26 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// digest identifies what a caller asks for, whichever try it is: its account, the
-// method, host and path, and the body. Ids, deadlines and the last event received differ from
-// try to try, and so does the service where a route has several. Requests that agree in all of these are the same to a backend server.
-//
-// It is called once the body has been read.
-func (a *ask) digest() uint64 {
-	if a.hash == 0 {
-		a.hash = a.workOutDigest()
+// digest returns a hash of the account, method, host, path and body. It is the same for all
+// attempts and retries of a request: IDs, deadlines, the last event and the chosen service may
+// differ between them and are left out. The body must have been read before.
+func (in *inboundRequest) digest() uint64 {
+	if in.cachedDigest == 0 {
+		in.cachedDigest = in.computeDigest()
 	}
-	return a.hash
+	return in.cachedDigest
 }
 
-func (a *ask) workOutDigest() uint64 {
+func (in *inboundRequest) computeDigest() uint64 {
 	h := xxhash.New()
-	for _, part := range []string{a.account.Name, a.method, a.host, a.path} {
+	for _, part := range []string{in.account.Name, in.method, in.host, in.path} {
 		_, _ = h.WriteString(part)
 		_, _ = h.Write(separator)
 	}
-	_, _ = h.Write(a.body)
-	// 0 stands for none.
+	_, _ = h.Write(in.body)
+	// 0 means that there is no digest.
 	return max(1, h.Sum64())
 }
 
-// separator keeps parts apart that stand side by side.
+// separator keeps adjacent parts distinct in the hash.
 var separator = []byte{0}
--- a/internal/front/early.go
+++ b/internal/front/early.go
@@ -14,71 +14,69 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// A router that refuses much, for want of time or of the account's share, does so before
-// a connection reaches the HTTP server: from the bytes of the request's head, without a map of its
-// headers, a context, or tasks beside. What is not plain, and what is not refused, goes
-// to the HTTP server as it came. The load that this answers is a flood of one account
-// whose callers all come to one small router, each on a connection of its own: 1,500 to
-// 2,200 refusals a second at 35 to 41 us each took the time for the account's own share.
+// Early refusal: while the router sheds load, it checks new connections before they reach the
+// HTTP server. It parses only the needed fields of the request head, which costs much less
+// than net/http. Requests that this parser does not handle, and requests that are not refused,
+// go to the HTTP server unchanged. This keeps the refusals of an overloading account from
+// using up the processor time for other requests.
 
 const (
-	// earlyHead is the largest request that is looked at: its head, and as much of its
-	// body as came with it.
-	earlyHead = 16 << 10
-	// earlyBody is the largest body that is read to its end for an early refusal: to
-	// close a connection with bytes unread would lose the answer.
-	earlyBody = 64 << 10
-	// earlyReads is in how many pieces a head may come.
-	earlyReads = 2
-	// earlyTime is how long a caller may take to send a head or a body. What takes
-	// longer goes to the HTTP server, whose bounds hold then.
-	earlyTime = time.Second
+	// maxEarlyRequest bounds the bytes read for the check: the head and the part of the body
+	// that arrived with it.
+	maxEarlyRequest = 16 << 10
+	// maxEarlyBody bounds the body of a request that is refused early. The body must be read
+	// to its end: closing a connection with unread bytes can lose the response.
+	maxEarlyBody = 64 << 10
+	// maxEarlyReads is the number of reads in which the head must arrive.
+	maxEarlyReads = 2
+	// earlyTimeout bounds the time to send the head or the body. Slower connections go to the
+	// HTTP server, which has its own timeouts.
+	earlyTimeout = time.Second
 )
 
-var earlyBuffers = sync.Pool{New: func() any { return new([earlyHead]byte) }}
+var earlyBuffers = sync.Pool{New: func() any { return new([maxEarlyRequest]byte) }}
 
-// serveNew serves a new connection: refused early, or by the HTTP server.
-func (s *Server) serveNew(c *conn, addr net.Addr) {
-	if s.refusesEarly(c) {
-		s.early.Add(1)
+// serveAccepted serves a new connection, with the early check if it applies.
+func (s *Server) serveAccepted(c *conn, addr net.Addr) {
+	if s.checksEarly(c) {
+		s.earlyConns.Add(1)
 		go func() {
-			defer s.early.Add(-1)
-			s.lookAt(c, addr)
+			defer s.earlyConns.Add(-1)
+			s.checkEarly(c, addr)
 		}()
 		return
 	}
-	s.current(addr).serveConn(c)
+	s.currentGeneration(addr).serveConn(c)
 }
 
-// refusesEarly reports whether a new connection's request is looked at before the HTTP
-// server has it.
-func (s *Server) refusesEarly(c *conn) bool {
-	return s.scheduler.Shedding() && !c.refuse && s.opt.tls == nil && !s.leaving.Load() && !s.draining.Load()
+// checksEarly reports whether new connections are checked before the HTTP server gets them.
+func (s *Server) checksEarly(c *conn) bool {
+	return s.scheduler.Shedding() && !c.refuse && s.opt.tls == nil && !s.keepAlivesOff.Load() && !s.draining.Load()
 }
 
-// lookAt refuses a connection's first request where the scheduler says so, and gives all
-// other connections to the HTTP server with what was read of them.
-func (s *Server) lookAt(c *conn, addr net.Addr) {
-	buf := earlyBuffers.Get().(*[earlyHead]byte)
+// checkEarly refuses or forwards the connection's first request if the scheduler refuses it.
+// Otherwise it passes the connection and the bytes read so far to the HTTP server.
+func (s *Server) checkEarly(c *conn, addr net.Addr) {
+	buf := earlyBuffers.Get().(*[maxEarlyRequest]byte)
 	defer earlyBuffers.Put(buf)
 	arrived := s.clock().Now()
-	_ = c.Conn.SetReadDeadline(time.Now().Add(earlyTime))
+	_ = c.Conn.SetReadDeadline(time.Now().Add(earlyTimeout))
 	n, head := readHead(c.Conn, buf[:])
-	if h, plain := s.plainHead(buf[:n], head); plain {
-		if s.endEarly(c, h, buf, n, n-head, arrived) {
+	if early, ok := s.parseHead(buf[:n], head); ok {
+		if s.rejectEarly(c, early, buf, n, n-head, arrived) {
 			return
 		}
-		c.screened = true
+		c.admissionChecked = true
 	}
 	_ = c.Conn.SetReadDeadline(time.Time{})
-	c.unread = bytes.Clone(buf[:n])
-	s.current(addr).serveConn(c)
+	c.buffered = bytes.Clone(buf[:n])
+	s.currentGeneration(addr).serveConn(c)
 }
 
-// readHead reads until a head is whole. It returns how many bytes came and how long the
-// head is, 0 if it is not whole.
+// readHead reads until the end of the head. It returns the number of bytes read and the length
+// of the head, 0 if the head is incomplete.
 func readHead(c net.Conn, buf []byte) (n, head int) {
-	for range earlyReads {
+	for range maxEarlyReads {
 		m, err := c.Read(buf[n:])
 		n += m
 		if i := bytes.Index(buf[:n], headEnd); i >= 0 {
@@ -96,101 +94,102 @@
 	lineEnd = []byte("\r\n")
 )
 
-// head is what an early refusal needs of a request.
-type head struct {
-	request Request
-	body    int
-	stated  prompt
+// earlyRequest is a request as parsed for the early check.
+type earlyRequest struct {
+	request    Request
+	bodyLength int
+	prompt     prompt
 }
 
-// plainHead reads a request's head. It reports false for whatever is not plain: the HTTP
-// server and the rest of this package then find out what it is.
-func (s *Server) plainHead(all []byte, length int) (*head, bool) {
+// parseHead parses a request head. It returns false for requests that the HTTP server must
+// handle, valid or not.
+func (s *Server) parseHead(data []byte, headLength int) (*earlyRequest, bool) {
 	t := s.scheduler.Table()
-	if length == 0 || t == nil {
+	if headLength == 0 || t == nil {
 		return nil, false
 	}
-	f, ok := s.plainFields(all[:length])
-	if !ok || len(all)-length > f.body {
+	fields, ok := s.parseFields(data[:headLength])
+	if !ok || len(data)-headLength > fields.contentLength {
 		return nil, false
 	}
-	route, ok := t.RouteFor(f.host, f.path)
-	if !ok || route.Public || f.id == "" {
+	route, ok := t.RouteFor(fields.host, fields.path)
+	if !ok || route.Public || fields.id == "" {
 		return nil, false
 	}
-	return s.describeHead(t, route, f)
+	return s.newEarlyRequest(t, route, fields)
 }
 
-// describeHead makes out whose request it is and what it asks for.
-func (s *Server) describeHead(t *table.Table, route *table.Route, f *fields) (*head, bool) {
-	account, ok := accountOf(t, f.key)
+// newEarlyRequest identifies the account and fills in the request for the scheduler.
+func (s *Server) newEarlyRequest(t *table.Table, route *table.Route, fields *headFields) (*earlyRequest, bool) {
+	account, ok := accountByKey(t, fields.key)
 	if !ok {
 		return nil, false
 	}
-	stated, ok := statedTokens(f.tokens)
+	sizes, ok := parseTokens(fields.tokens)
 	if !ok {
 		return nil, false
 	}
-	wait := boundedWait(f.deadline)
+	timeout := clampTimeout(fields.deadline)
 	if route.Timeout > 0 {
-		wait = min(wait, route.Timeout)
+		timeout = min(timeout, route.Timeout)
 	}
-	return &head{
+	return &earlyRequest{
 		request: Request{
-			ID: f.id, Account: account.Name, Model: route.Pick(rand.Float64()), Deadline: s.clock().Now().Add(wait),
-			Prompt: stated.tokens, Output: stated.output, Target: route.Target,
+			ID: fields.id, Account: account.Name, Model: route.Pick(rand.Float64()), Deadline: s.clock().Now().Add(timeout),
+			Prompt: sizes.tokens, Output: sizes.output, Target: route.Target,
 		},
-		body: f.body, stated: stated,
+		bodyLength: fields.contentLength, prompt: sizes,
 	}, true
 }
 
-// endEarly refuses a request where the scheduler says so, or hands it on to a router with
-// more time, and closes its connection. Of n bytes that were read, some are the body's.
-func (s *Server) endEarly(c *conn, h *head, buf *[earlyHead]byte, n, body int, arrived time.Time) bool {
-	err := s.scheduler.CheckAdmission(h.request)
+// rejectEarly asks the scheduler to admit the request and returns false if it does. Otherwise
+// it forwards the connection to another router or refuses the request. n is the number of
+// bytes read, bodyRead how many of them belong to the body.
+func (s *Server) rejectEarly(c *conn, early *earlyRequest, buf *[maxEarlyRequest]byte, n, bodyRead int, arrived time.Time) bool {
+	err := s.scheduler.CheckAdmission(early.request)
 	if err == nil {
 		return false
 	}
-	all, err := s.forward(c, h, buf[:n], err)
+	read, err := s.forward(c, early, buf[:n], err)
 	if err == nil {
 		return true
 	}
-	s.refuseEarly(c, h, buf[:], body+len(all)-n, arrived, err)
+	s.refuseEarly(c, early, buf[:], bodyRead+len(read)-n, arrived, err)
 	return true
 }
 
-// refuseEarly refuses a request of whose body so much came, and closes its connection.
-func (s *Server) refuseEarly(c *conn, h *head, buf []byte, came int, arrived time.Time, err *verdict.Error) {
+// refuseEarly refuses a request and closes its connection. bodyRead is the number of bytes of
+// the body read so far.
+func (s *Server) refuseEarly(c *conn, early *earlyRequest, buf []byte, bodyRead int, arrived time.Time, err *verdict.Error) {
 	s.requests.Add(1)
-	a := &ask{id: h.request.ID, arrived: arrived, model: h.request.Model, route: &routing{prompt: h.stated}}
-	a.account.Name = h.request.Account
-	err = a.final(err)
-	if drain(c.Conn, buf, h.body-came) {
-		_ = c.Conn.SetWriteDeadline(time.Now().Add(earlyTime))
-		// A caller that left does not hear of it; the line below tells of the refusal.
-		_, _ = c.Conn.Write(appendRefusal(buf[:0], &s.opt.dialect, a.id, err))
+	in := &inboundRequest{id: early.request.ID, arrived: arrived, model: early.request.Model, route: &routeState{prompt: early.prompt}}
+	in.account.Name = early.request.Account
+	err = in.finalError(err)
+	if discardBody(c.Conn, buf, early.bodyLength-bodyRead) {
+		_ = c.Conn.SetWriteDeadline(time.Now().Add(earlyTimeout))
+		// Ignore write errors: the caller may have disconnected. The refusal is logged below.
+		_, _ = c.Conn.Write(appendRefusal(buf[:0], &s.opt.headers, in.id, err))
 	}
 	_ = c.Close()
-	out := Outcome{Account: h.request.Account, Model: a.model, Status: err.Status, Code: err.Code, Verdict: err.Verdict.String(), Total: s.clock().Since(arrived)}
-	s.opt.observer.RequestEnded(out)
-	s.log(a, &out)
+	outcome := Outcome{Account: early.request.Account, Model: in.model, Status: err.Status, Code: err.Code, Verdict: err.Verdict.String(), Total: s.clock().Since(arrived)}
+	s.opt.observer.RequestEnded(outcome)
+	s.logEnd(in, &outcome)
 }
 
-// drain reads what is left of a body and reports whether all of it came.
-func drain(c net.Conn, buf []byte, left int) bool {
-	for left > 0 {
-		n, err := c.Read(buf[:min(len(buf), left)])
-		left -= n
+// discardBody reads the rest of a body and reports whether all of it arrived.
+func discardBody(c net.Conn, buf []byte, remaining int) bool {
+	for remaining > 0 {
+		n, err := c.Read(buf[:min(len(buf), remaining)])
+		remaining -= n
 		if err != nil {
-			return left <= 0
+			return remaining <= 0
 		}
 	}
 	return true
 }
 
-// appendRefusal appends an answer that refuses a request and ends its connection, as
-// writeProblem writes it.
-func appendRefusal(b []byte, d *HeaderConfig, id string, e *verdict.Error) []byte {
+// appendRefusal appends the same response that writeProblem sends, with Connection: close.
+func appendRefusal(b []byte, headers *HeaderConfig, id string, e *verdict.Error) []byte {
 	body, err := json.Marshal(problemOf(id, e))
 	if err != nil {
 		body = nil
@@ -200,11 +199,11 @@
 	b = append(b, ' ')
 	b = append(b, http.StatusText(e.Status)...)
 	b = append(b, "\r\nCache-Control: no-store\r\nConnection: close\r\nContent-Type: application/problem+json"...)
-	b = appendField(b, d.RequestID, id)
+	b = appendHeader(b, headers.RequestID, id)
 	if e.RetryAfter > 0 {
-		b = appendField(b, "Retry-After", d.retryAfter(e.RetryAfter))
+		b = appendHeader(b, "Retry-After", headers.retryAfter(e.RetryAfter))
 	}
-	b = appendField(b, verdict.Header, e.Verdict.String())
+	b = appendHeader(b, verdict.Header, e.Verdict.String())
 	b = append(b, "\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)+1), 10)
 	b = append(b, headEnd...)
@@ -212,7 +211,7 @@
 	return append(b, '\n')
 }
 
-func appendField(b []byte, name, value string) []byte {
+func appendHeader(b []byte, name, value string) []byte {
 	b = append(b, lineEnd...)
 	b = append(b, name...)
 	b = append(b, ": "...)
--- a/internal/front/fields.go
+++ b/internal/front/fields.go
@@ -6,23 +6,22 @@
 	"strings"
 )
 
-// fields are those of a request's head that an early refusal needs.
-type fields struct {
+// headFields holds the header fields that the early check needs.
+type headFields struct {
 	host, path string
 	id         string
 	key        []byte
 	tokens     string
-	// deadline is in milliseconds, above 0.
-	deadline int64
-	body     int
+	// deadline is in milliseconds and above 0.
+	deadline      int64
+	contentLength int
 }
 
-// plainFields reads a head of one line each for the request and its fields. It reports
-// false for a head that is not plain: whose body has no stated length or is large, whose
-// caller waits for a word before it sends it, that asks for another protocol, that
-// states a field twice or leaves one out.
-func (s *Server) plainFields(b []byte) (*fields, bool) {
-	line, rest, _ := bytes.Cut(b, lineEnd)
+// parseFields parses a request head. It returns false if the HTTP server must handle the
+// request: malformed lines, a body that is large or of unknown length, Expect or Upgrade, a
+// repeated field, or a missing required one.
+func (s *Server) parseFields(head []byte) (*headFields, bool) {
+	line, rest, _ := bytes.Cut(head, lineEnd)
 	_, target, ok := bytes.Cut(line, []byte(" "))
 	if !ok {
 		return nil, false
@@ -32,7 +31,7 @@
 		return nil, false
 	}
 	path, _, _ := bytes.Cut(target, []byte("?"))
-	f := &fields{path: string(path)}
+	fields := &headFields{path: string(path)}
 	seen := 0
 	for len(rest) > len(lineEnd) {
 		line, rest, _ = bytes.Cut(rest, lineEnd)
@@ -40,17 +39,17 @@
 		if !ok || len(name) == 0 {
 			return nil, false
 		}
-		which, plain := s.takeField(f, name, bytes.TrimSpace(value))
-		if !plain || seen&which != 0 {
+		bit, valid := s.parseField(fields, name, bytes.TrimSpace(value))
+		if !valid || seen&bit != 0 {
 			return nil, false
 		}
-		seen |= which
+		seen |= bit
 	}
-	const needed = fieldHost | fieldID | fieldDeadline | fieldKey
-	return f, seen&needed == needed
+	const required = fieldHost | fieldID | fieldDeadline | fieldKey
+	return fields, seen&required == required
 }
 
-// The fields that are read, as bits.
+// Bits for the fields that have been seen.
 const (
 	fieldHost = 1 << iota
 	fieldID
@@ -60,38 +59,38 @@
 	fieldLength
 )
 
-// takeField reads one field. It returns which it is, 0 if it does not matter, and
-// whether it is plain.
-func (s *Server) takeField(f *fields, name, value []byte) (which int, plain bool) {
-	d := &s.opt.dialect
+// parseField parses one field. It returns the field's bit, 0 for other fields, and whether the
+// early check can handle it.
+func (s *Server) parseField(fields *headFields, name, value []byte) (bit int, valid bool) {
+	headers := &s.opt.headers
 	var err error
 	switch {
-	case is(name, "Host"):
-		f.host = string(value)
+	case equalFoldName(name, "Host"):
+		fields.host = string(value)
 		return fieldHost, true
-	case is(name, d.RequestID):
-		f.id = string(value)
+	case equalFoldName(name, headers.RequestID):
+		fields.id = string(value)
 		return fieldID, true
-	case is(name, d.Deadline):
-		f.deadline, err = strconv.ParseInt(string(value), 10, 64)
-		return fieldDeadline, err == nil && f.deadline > 0
-	case is(name, d.Key):
-		f.key, plain = bytes.CutPrefix(value, []byte(d.KeyPrefix))
-		return fieldKey, plain && len(f.key) > 0
-	case is(name, d.Tokens):
-		f.tokens = string(value)
+	case equalFoldName(name, headers.Deadline):
+		fields.deadline, err = strconv.ParseInt(string(value), 10, 64)
+		return fieldDeadline, err == nil && fields.deadline > 0
+	case equalFoldName(name, headers.Key):
+		fields.key, valid = bytes.CutPrefix(value, []byte(headers.KeyPrefix))
+		return fieldKey, valid && len(fields.key) > 0
+	case equalFoldName(name, headers.Tokens):
+		fields.tokens = string(value)
 		return fieldTokens, true
-	case is(name, "Content-Length"):
-		f.body, err = strconv.Atoi(string(value))
-		return fieldLength, err == nil && f.body >= 0 && f.body <= earlyBody
-	case is(name, "Transfer-Encoding"), is(name, "Expect"), is(name, "Upgrade"):
+	case equalFoldName(name, "Content-Length"):
+		fields.contentLength, err = strconv.Atoi(string(value))
+		return fieldLength, err == nil && fields.contentLength >= 0 && fields.contentLength <= maxEarlyBody
+	case equalFoldName(name, "Transfer-Encoding"), equalFoldName(name, "Expect"), equalFoldName(name, "Upgrade"):
 		return 0, false
 	default:
 		return 0, true
 	}
 }
 
-// is reports whether a field's name is another one, whatever its case.
-func is(name []byte, other string) bool {
+// equalFoldName reports whether a field has the given name, ignoring case.
+func equalFoldName(name []byte, other string) bool {
 	return len(name) == len(other) && len(other) > 0 && strings.EqualFold(string(name), other)
 }
--- a/internal/front/forward.go
+++ b/internal/front/forward.go
@@ -13,60 +13,59 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// Forwarder hands callers' connections on to other routers.
+// Forwarder forwards callers' connections to other routers.
 type Forwarder interface {
-	Forward(caller net.Conn, first []byte, by table.Version, until time.Time) forward.Result
+	Forward(caller net.Conn, head []byte, version table.Version, deadline time.Time) forward.Result
 }
 
-// WithForwarder sets what hands on the connections that this router has no time for.
+// WithForwarder sets the forwarder for connections that this router has no capacity for.
 func WithForwarder(f Forwarder) Option { return func(o *options) { o.forwarder = f } }
 
-// errRouterLost is told the caller of a request that was handed on to a router which was
-// lost before its answer began.
+// errRouterLost is the refusal when the router that accepted a forwarded request is lost
+// before its response begins.
 var errRouterLost = verdict.New(verdict.PhaseStream, http.StatusBadGateway, "router-lost",
 	"the entry instance that worked on the request was lost; it may have run")
 
-// CodeOverloaded is the code of a refusal for want of time: another router may have some.
+// CodeOverloaded is the code of refusals for lack of capacity. Such requests may be forwarded.
 const CodeOverloaded = "overloaded"
 
-// forwardGrace is how long after its deadline a request that was handed on is given up.
+// forwardGrace is the time after its deadline at which a forwarded request is abandoned.
 const forwardGrace = 500 * time.Millisecond
 
-// forward hands a connection on whose request this router has no time for. It returns all
-// that was read of it, and why the request ends here, nil if it has been answered.
-func (s *Server) forward(c *conn, h *head, all []byte, refusal *verdict.Error) ([]byte, *verdict.Error) {
-	if s.opt.forwarder == nil || refusal.Code != CodeOverloaded || !s.scheduler.MayForward(h.request) {
-		return all, refusal
+// forward forwards a connection whose request was refused for lack of capacity. It returns all
+// bytes read from the connection and the refusal to send, nil if the request was answered.
+func (s *Server) forward(c *conn, early *earlyRequest, read []byte, refusal *verdict.Error) ([]byte, *verdict.Error) {
+	if s.opt.forwarder == nil || refusal.Code != CodeOverloaded || !s.scheduler.MayForward(early.request) {
+		return read, refusal
 	}
-	begun := s.clock().Now()
-	did := s.opt.forwarder.Forward(c, bytes.Clone(all), s.scheduler.Table().Version(), h.request.Deadline.Add(forwardGrace))
-	s.opt.log.LogAttrs(context.Background(), slog.LevelInfo, "request_forwarded", slog.String("request", h.request.ID),
-		slog.String("account", h.request.Account), slog.String("to", did.To), slog.String("outcome", did.Outcome.String()),
-		slog.Int64("total_ms", s.clock().Since(begun).Milliseconds()))
-	switch did.Outcome {
+	start := s.clock().Now()
+	result := s.opt.forwarder.Forward(c, bytes.Clone(read), s.scheduler.Table().Version(), early.request.Deadline.Add(forwardGrace))
+	s.opt.log.LogAttrs(context.Background(), slog.LevelInfo, "request_forwarded", slog.String("request", early.request.ID),
+		slog.String("account", early.request.Account), slog.String("to", result.To), slog.String("outcome", result.Outcome.String()),
+		slog.Int64("total_ms", s.clock().Since(start).Milliseconds()))
+	switch result.Outcome {
 	case forward.Ended:
 		return nil, nil
 	case forward.Unknown:
-		return did.Read, errRouterLost
+		return result.Read, errRouterLost
 	default:
-		return did.Read, refusal
+		return result.Read, refusal
 	}
 }
 
 // AcceptsForwarded implements forward.Server.
-func (s *Server) AcceptsForwarded(by table.Version) bool {
+func (s *Server) AcceptsForwarded(version table.Version) bool {
 	t := s.scheduler.Table()
-	return t != nil && !by.NewerThan(t.Version()) && !s.scheduler.Shedding() && !s.scheduler.Overloaded() &&
-		!s.leaving.Load() && !s.draining.Load() && !s.connections.crowded(s.callers.Load().MaxConnections)
+	return t != nil && !version.NewerThan(t.Version()) && !s.scheduler.Shedding() && !s.scheduler.Overloaded() &&
+		!s.keepAlivesOff.Load() && !s.draining.Load() && !s.connections.nearLimit(s.limits.Load().MaxConnections)
 }
 
-// ServeForwarded implements forward.Server: it serves a connection that another router
-// handed on. It ends with its first answer.
+// ServeForwarded implements forward.Server. The connection closes after its first response.
 func (s *Server) ServeForwarded(nc net.Conn) {
-	c := s.admitted(nc)
+	c := s.trackConn(nc)
 	if c == nil {
 		return
 	}
 	c.forwarded = true
-	s.current(nc.LocalAddr()).serveConn(c)
+	s.currentGeneration(nc.LocalAddr()).serveConn(c)
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -123,7 +123,7 @@
 	Code    string
 }
 
-func ask(t *testing.T, method, url, body string, header map[string]string) reply {
+func inboundRequest(t *testing.T, method, url, body string, header map[string]string) reply {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -179,7 +179,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := &fake{t: newTable(t), results: []backend.Result{{}}}
 			url := start(t, f, front.WithMaxBody(1000))
-			if diff := cmp.Diff(tc.want, ask(t, tc.method, url+tc.path, tc.body, tc.header)); diff != "" {
+			if diff := cmp.Diff(tc.want, inboundRequest(t, tc.method, url+tc.path, tc.body, tc.header)); diff != "" {
 				t.Errorf("reply (-want +got):\n%s", diff)
 			}
 			if f.attempts.Load() != 0 {
@@ -230,7 +230,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := &fake{t: newTable(t), results: tc.results}
-			got := ask(t, "POST", start(t, f)+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderNotRepeatable: tc.once})
+			got := inboundRequest(t, "POST", start(t, f)+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderNotRepeatable: tc.once})
 			if diff := cmp.Diff(tc.want, got); diff != "" {
 				t.Errorf("reply (-want +got):\n%s", diff)
 			}
@@ -245,7 +245,7 @@
 	for method, once := range map[string]bool{"POST": true, "PUT": true, "DELETE": true, "GET": false} {
 		t.Run(method, func(t *testing.T) {
 			f := &fake{t: newTable(t), results: []backend.Result{{}}, calls: make(chan backend.Call, 1)}
-			ask(t, method, start(t, f)+"/services/scores/game/7?a=b", "", nil)
+			inboundRequest(t, method, start(t, f)+"/services/scores/game/7?a=b", "", nil)
 			call := <-f.calls
 			if call.NotRepeatable != once || call.Path != "/game/7?a=b" || call.Method != method {
 				t.Errorf("call %s %s, once %v", call.Method, call.Path, call.NotRepeatable)
@@ -262,7 +262,7 @@
 func TestReservedHeadersAreDropped(t *testing.T) {
 	f := &fake{t: newTable(t), results: []backend.Result{{}}, calls: make(chan backend.Call, 1)}
 	url := start(t, f)
-	ask(t, "POST", url+"/services/scores/x", "", map[string]string{backend.HeaderPriority: "9", "X-Own": "kept"})
+	inboundRequest(t, "POST", url+"/services/scores/x", "", map[string]string{backend.HeaderPriority: "9", "X-Own": "kept"})
 	call := <-f.calls
 	if got := call.Header.Get(backend.HeaderPriority); got != "" {
 		t.Errorf("the caller's %s reached the backend server: %q", backend.HeaderPriority, got)
@@ -274,7 +274,7 @@
 
 func TestKeyIsTakenBackWhenNothingRan(t *testing.T) {
 	f := &fake{t: newTable(t), results: []backend.Result{failed(verdict.PhaseDial, "other", false)}}
-	ask(t, "POST", start(t, f)+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderIdempotencyKey: "k"})
+	inboundRequest(t, "POST", start(t, f)+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderIdempotencyKey: "k"})
 	if f.voided.Load() != 1 {
 		t.Errorf("taken back %d times", f.voided.Load())
 	}
@@ -341,7 +341,7 @@
 func TestRefusalTellsHowLongItWaited(t *testing.T) {
 	told := make(outcomes, 1)
 	url := start(t, &fake{t: newTable(t), results: []backend.Result{{}}}, front.WithObserver(told))
-	ask(t, "POST", url+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderDeadline: "20"})
+	inboundRequest(t, "POST", url+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderDeadline: "20"})
 	if got := <-told; got.Code != "deadline" || got.Waited <= 0 || got.Waited > got.Total {
 		t.Errorf("a request that waited until its deadline ended as %+v", got)
 	}
--- a/internal/front/handle.go
+++ b/internal/front/handle.go
@@ -12,12 +12,12 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// retryAfter is when a caller may come back to another entry instance.
-const retryAfter = time.Second
+// refusalRetryAfter is the retry delay of refusals that are specific to this router.
+const refusalRetryAfter = time.Second
 
-// admit does what every request needs first: an account and its headers.
-func (s *Server) admit(a *ask, r *http.Request) *verdict.Error {
-	t, err := s.tableFor(r)
+// readAccountAndHeaders authenticates a request to the built-in API and reads its headers.
+func (s *Server) readAccountAndHeaders(in *inboundRequest, r *http.Request) *verdict.Error {
+	t, err := s.currentTable(r)
 	if err != nil {
 		return err
 	}
@@ -25,128 +25,130 @@
 	if err != nil {
 		return err
 	}
-	a.account = account
-	a.path = r.URL.RequestURI()
-	return s.readHeaders(a, r)
+	in.account = account
+	in.path = r.URL.RequestURI()
+	return s.readHeaders(in, r)
 }
 
-// tableFor returns the table to decide a new request by.
-func (s *Server) tableFor(*http.Request) (*table.Table, *verdict.Error) {
+// currentTable returns the table for a new request, or an error while draining or before the
+// first table.
+func (s *Server) currentTable(*http.Request) (*table.Table, *verdict.Error) {
 	if s.draining.Load() {
-		return nil, errDraining.WithRetryAfter(retryAfter)
+		return nil, errDraining.WithRetryAfter(refusalRetryAfter)
 	}
 	t := s.scheduler.Table()
 	if t == nil {
-		return nil, errNotReady.WithRetryAfter(retryAfter)
+		return nil, errNoTable.WithRetryAfter(refusalRetryAfter)
 	}
 	return t, nil
 }
 
-// handle runs one request of the own interfaces from its admission to its end.
-func (s *Server) handle(w http.ResponseWriter, r *http.Request, read func(*ask) *verdict.Error) {
-	a := &ask{id: s.requestID(), arrived: s.clock().Now(), method: r.Method, host: r.Host}
-	s.serve(w, r, a, func() *verdict.Error {
-		err := s.admit(a, r)
+// handleBuiltin handles a request to the built-in API; parse reads the rest of it.
+func (s *Server) handleBuiltin(w http.ResponseWriter, r *http.Request, parse func(*inboundRequest) *verdict.Error) {
+	in := &inboundRequest{id: s.newRequestID(), arrived: s.clock().Now(), method: r.Method, host: r.Host}
+	s.serve(w, r, in, func() *verdict.Error {
+		err := s.readAccountAndHeaders(in, r)
 		if err == nil {
-			err = read(a)
+			err = parse(in)
 		}
-		if err == nil && !s.serves(a.model) {
-			err = errNoModel
+		if err == nil && !s.hasModel(in.model) {
+			err = errNoSuchModel
 		}
 		return err
 	})
 }
 
-// serve runs one request, which read makes out, to its end.
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, a *ask, read func() *verdict.Error) {
+// serve handles one request from parsing to the end of its response.
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, in *inboundRequest, parse func() *verdict.Error) {
 	s.requests.Add(1)
-	defer s.open.Add(-1)
+	defer s.openRequests.Add(-1)
 	var err *verdict.Error
-	if s.open.Add(1) > s.callers.Load().MaxOpen {
-		err = errTooManyOpen.WithRetryAfter(retryAfter)
+	if s.openRequests.Add(1) > s.limits.Load().MaxOpen {
+		err = errTooManyOpen.WithRetryAfter(refusalRetryAfter)
 	} else {
-		err = read()
+		err = parse()
 	}
-	out := s.answerTo(w, a)
-	outcome := Outcome{Account: a.account.Name, Model: a.model}
+	resp := s.newResponse(w, in)
+	outcome := Outcome{Account: in.account.Name, Model: in.model}
 	if err == nil {
-		err = s.schedule(r.Context(), a, r, out, &outcome)
+		err = s.run(r.Context(), in, r, resp, &outcome)
 	}
 	if err != nil {
-		err = a.final(err)
-		out.fail(err)
+		err = in.finalError(err)
+		resp.fail(err)
 		outcome.Code = err.Code
 		outcome.Status = err.Status
 		outcome.Verdict = err.Verdict.String()
 	}
-	outcome.Total = s.clock().Since(a.arrived)
+	outcome.Total = s.clock().Since(in.arrived)
 	s.opt.observer.RequestEnded(outcome)
-	s.log(a, &outcome)
-	if err != nil && out.began {
-		// The answer has no end, so the connection must not have one either.
+	s.logEnd(in, &outcome)
+	if err != nil && resp.started {
+		// The response is incomplete; abort the connection so that the caller notices.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (s *Server) serves(model string) bool {
+func (s *Server) hasModel(model string) bool {
 	t := s.scheduler.Table()
 	return t != nil && t.HasModel(model)
 }
 
-func (s *Server) log(a *ask, o *Outcome) {
-	var stated prompt
-	if a.route != nil {
-		stated = a.route.prompt
+func (s *Server) logEnd(in *inboundRequest, outcome *Outcome) {
+	var sizes prompt
+	if in.route != nil {
+		sizes = in.route.prompt
 	}
 	var revision uint64
 	if t := s.scheduler.Table(); t != nil {
 		revision = t.Revision
 	}
 	s.opt.log.LogAttrs(context.Background(), slog.LevelInfo, "request_end",
-		slog.String("request", a.id), slog.String("account", o.Account), slog.String("model", o.Model),
-		slog.Int64("prompt", stated.tokens), slog.Int64("output", stated.output), slog.Uint64("table", revision),
-		slog.Int("status", o.Status), slog.String("code", o.Code), slog.String("verdict", o.Verdict),
-		slog.Int64("tokens", o.Tokens), slog.Int("attempts", o.Attempts),
-		slog.Int64("waited_ms", o.Waited.Milliseconds()), slog.Int64("total_ms", o.Total.Milliseconds()))
+		slog.String("request", in.id), slog.String("account", outcome.Account), slog.String("model", outcome.Model),
+		slog.Int64("prompt", sizes.tokens), slog.Int64("output", sizes.output), slog.Uint64("table", revision),
+		slog.Int("status", outcome.Status), slog.String("code", outcome.Code), slog.String("verdict", outcome.Verdict),
+		slog.Int64("tokens", outcome.Tokens), slog.Int("attempts", outcome.Attempts),
+		slog.Int64("waited_ms", outcome.Waited.Milliseconds()), slog.Int64("total_ms", outcome.Total.Milliseconds()))
 }
 
-// schedule tries the request until it ends, by the rules of verdicts.
-func (s *Server) schedule(ctx context.Context, a *ask, r *http.Request, out *answer, o *Outcome) *verdict.Error {
-	ctx, cancel := s.clock().WithDeadline(ctx, a.deadline)
+// run claims the request's idempotency key, if it has one, and runs the request. It
+// releases the claim if the request did not run.
+func (s *Server) run(ctx context.Context, in *inboundRequest, r *http.Request, resp *response, outcome *Outcome) *verdict.Error {
+	ctx, cancel := s.clock().WithDeadline(ctx, in.deadline)
 	defer cancel()
-	if a.key == "" {
-		return s.tryAll(ctx, a, r, out, o)
+	if in.idempotencyKey == "" {
+		return s.runAttempts(ctx, in, r, resp, outcome)
 	}
-	claim := Claim{Account: a.account.Name, Request: a.id, Key: a.key, FirstUsed: a.keyTime}
+	claim := Claim{Account: in.account.Name, Request: in.id, Key: in.idempotencyKey, FirstUsed: in.keyFirstUsed}
 	if err := s.scheduler.Claim(ctx, claim); err != nil {
-		return acquireFailed(ctx, err)
+		return acquireError(ctx, err)
 	}
-	err := s.tryAll(ctx, a, r, out, o)
+	err := s.runAttempts(ctx, in, r, resp, outcome)
 	if err != nil && err.Verdict == verdict.NotRun {
 		s.scheduler.Unclaim(claim)
 	}
 	return err
 }
 
-// tryAll attempts the request until it ends.
-func (s *Server) tryAll(ctx context.Context, a *ask, r *http.Request, out *answer, o *Outcome) *verdict.Error {
-	doubt := false
+// runAttempts attempts the request until it succeeds or must not be retried.
+func (s *Server) runAttempts(ctx context.Context, in *inboundRequest, r *http.Request, resp *response, outcome *Outcome) *verdict.Error {
+	mayHaveRun := false
 	for {
-		result, err := s.attempt(ctx, a, r, out, o)
+		result, err := s.attempt(ctx, in, r, resp, outcome)
 		if err == nil {
 			return nil
 		}
-		doubt = doubt || result.Sent && err.Verdict != verdict.NotRun
-		if !s.again(ctx, a, result, err) {
-			return inDoubt(err, doubt)
+		mayHaveRun = mayHaveRun || result.Sent && err.Verdict != verdict.NotRun
+		if !s.shouldRetry(ctx, in, result, err) {
+			return withEarlierDoubt(err, mayHaveRun)
 		}
 	}
 }
 
-// inDoubt keeps an earlier attempt's doubt: a request that may have run once
-// cannot end as not run.
-func inDoubt(err *verdict.Error, doubt bool) *verdict.Error {
-	if !doubt || err.Verdict != verdict.NotRun {
+// withEarlierDoubt changes the verdict NotRun to MayHaveRun if an earlier attempt may have
+// run.
+func withEarlierDoubt(err *verdict.Error, mayHaveRun bool) *verdict.Error {
+	if !mayHaveRun || err.Verdict != verdict.NotRun {
 		return err
 	}
 	e := *err
@@ -154,75 +156,76 @@
 	return &e
 }
 
-// again reports whether the request is tried once more.
-func (s *Server) again(ctx context.Context, a *ask, result backend.Result, err *verdict.Error) bool {
+// shouldRetry reports whether to attempt the request again.
+func (s *Server) shouldRetry(ctx context.Context, in *inboundRequest, result backend.Result, err *verdict.Error) bool {
 	if ctx.Err() != nil || err.Phase == verdict.PhaseAdmit || err.Code == "" {
 		return false
 	}
-	if a.route != nil {
-		return s.againRouted(a, result, err)
+	if in.route != nil {
+		return s.shouldRetryRouted(in, result, err)
 	}
-	if result.Began || !verdict.MayRetry(err.Verdict, !a.once) || !retryable(err.Code) {
+	if result.Began || !verdict.MayRetry(err.Verdict, !in.notRepeatable) || !retryableCode(err.Code) {
 		return false
 	}
-	return s.scheduler.SpendRetry(a.request())
+	return s.scheduler.SpendRetry(in.schedulerRequest())
 }
 
-// retryable lists the causes that another attempt may mend.
-func retryable(code string) bool {
+// retryableCode reports whether another attempt may succeed after a failure with this code.
+func retryableCode(code string) bool {
 	return slices.Contains([]string{"lease-expired", "backend-unreachable", "backend-broke", "backend-refused", "answer-cut"}, code)
 }
 
-// request is what the scheduler needs to know.
-func (a *ask) request() Request {
+// schedulerRequest returns the request in the form that the scheduler needs.
+func (in *inboundRequest) schedulerRequest() Request {
 	req := Request{
-		ID: a.id, Account: a.account.Name, Model: a.model, Priority: a.priority, Deadline: a.deadline, Digest: a.digest,
+		ID: in.id, Account: in.account.Name, Model: in.model, Priority: in.priority, Deadline: in.deadline, Digest: in.digest,
 	}
-	if a.route != nil {
-		a.route.describe(&req)
+	if in.route != nil {
+		in.route.fillRequest(&req)
 		return req
 	}
-	req.Prefix = prefixOf(a.body)
+	req.Prefix = hashPrefix(in.body)
 	return req
 }
 
-func (s *Server) call(a *ask, r *http.Request, g Grant) backend.Call {
-	if a.route != nil {
-		return s.routedCall(a, r, g)
+func (s *Server) backendCall(in *inboundRequest, r *http.Request, grant Grant) backend.Call {
+	if in.route != nil {
+		return s.routedBackendCall(in, r, grant)
 	}
 	header := r.Header.Clone()
 	header.Del("Authorization")
 	return backend.Call{
-		Address: g.Address, Method: r.Method, Path: a.path, Header: header, Body: a.body,
-		RequestID: a.id, Priority: max(a.priority, a.account.Priority), NotRepeatable: a.once, MayStream: a.events,
-		MayStart: g.MayStart, Served: g.Served,
+		Address: grant.Address, Method: r.Method, Path: in.path, Header: header, Body: in.body,
+		RequestID: in.id, Priority: max(in.priority, in.account.Priority), NotRepeatable: in.notRepeatable, MayStream: in.mayStream,
+		MayStart: grant.MayStart, Served: grant.Served,
 	}
 }
 
+// completions handles a request for a completion or chat completion.
 func (s *Server) completions(w http.ResponseWriter, r *http.Request) {
-	s.handle(w, r, func(a *ask) *verdict.Error {
-		a.events = true
+	s.handleBuiltin(w, r, func(in *inboundRequest) *verdict.Error {
+		in.mayStream = true
 		body, err := s.readBody(w, r)
 		if err != nil {
 			return err
 		}
-		a.body = body
-		a.model, err = modelOf(body)
+		in.body = body
+		in.model, err = parseModel(body)
 		return err
 	})
 }
 
-// service passes a request on to a plain service, any method and body.
-// Methods that may change something are not repeated unless marked so.
-func (s *Server) service(w http.ResponseWriter, r *http.Request) {
-	s.handle(w, r, func(a *ask) *verdict.Error {
-		a.model = r.PathValue("service")
-		a.path = servicePath(r)
+// plainService relays a request to a plain service. Requests with a method that may change
+// state are not repeatable unless the caller says so.
+func (s *Server) plainService(w http.ResponseWriter, r *http.Request) {
+	s.handleBuiltin(w, r, func(in *inboundRequest) *verdict.Error {
+		in.model = r.PathValue("service")
+		in.path = servicePath(r)
 		if r.Header.Get(HeaderNotRepeatable) == "" {
-			a.once = r.Method != http.MethodGet && r.Method != http.MethodHead && r.Method != http.MethodOptions
+			in.notRepeatable = r.Method != http.MethodGet && r.Method != http.MethodHead && r.Method != http.MethodOptions
 		}
 		body, err := s.readBody(w, r)
-		a.body = body
+		in.body = body
 		return err
 	})
 }
@@ -235,19 +238,19 @@
 }
 
 func (s *Server) notFound(w http.ResponseWriter, r *http.Request) {
-	s.refuseUnrouted(w, r, errNotFound)
+	s.refuseUnrouted(w, r, errNoSuchPath)
 }
 
-func (s *Server) notReady(w http.ResponseWriter, r *http.Request) {
-	s.refuseUnrouted(w, r, errNotReady.WithRetryAfter(retryAfter))
+func (s *Server) noTable(w http.ResponseWriter, r *http.Request) {
+	s.refuseUnrouted(w, r, errNoTable.WithRetryAfter(refusalRetryAfter))
 }
 
-// refuseUnrouted answers a request that no route or interface takes.
+// refuseUnrouted refuses a request that is not handled further.
 func (s *Server) refuseUnrouted(w http.ResponseWriter, r *http.Request, err *verdict.Error) {
-	a := &ask{id: r.Header.Get(s.opt.dialect.RequestID), arrived: s.clock().Now()}
-	if a.id == "" {
-		a.id = s.requestID()
+	in := &inboundRequest{id: r.Header.Get(s.opt.headers.RequestID), arrived: s.clock().Now()}
+	if in.id == "" {
+		in.id = s.newRequestID()
 	}
-	s.answerTo(w, a).fail(err)
-	s.log(a, &Outcome{Status: err.Status, Code: err.Code, Verdict: err.Verdict.String()})
+	s.newResponse(w, in).fail(err)
+	s.logEnd(in, &Outcome{Status: err.Status, Code: err.Code, Verdict: err.Verdict.String()})
 }
--- a/internal/front/listen.go
+++ b/internal/front/listen.go
@@ -12,75 +12,73 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// limits bound what a caller's connection may do.
-type limits struct {
-	header int
-	// headerTime is how long a header may take, idleTime how long the
-	// connection may rest.
-	headerTime, idleTime time.Duration
+// connLimits are the limits of a caller's connection.
+type connLimits struct {
+	headerBytes int
+	// headerTimeout bounds the time to send a header, idleTimeout the time without a request.
+	headerTimeout, idleTimeout time.Duration
 }
 
-// limitsOf returns the limits that a table states, and the settings' where it
-// states none.
-func (s *Server) limitsOf(t *table.Table) limits {
-	l := limits{header: s.callers.Load().MaxHeader, headerTime: headerTimeout, idleTime: idleTimeout}
+// limitsFor returns the limits of the table, with the settings as defaults.
+func (s *Server) limitsFor(t *table.Table) connLimits {
+	l := connLimits{headerBytes: s.limits.Load().MaxHeader, headerTimeout: headerTimeout, idleTimeout: idleTimeout}
 	if t == nil {
 		return l
 	}
 	if t.Bounds.HeaderBytes > 0 {
-		l.header = t.Bounds.HeaderBytes
+		l.headerBytes = t.Bounds.HeaderBytes
 	}
 	if t.Bounds.HeaderTime > 0 {
-		l.headerTime = t.Bounds.HeaderTime
+		l.headerTimeout = t.Bounds.HeaderTime
 	}
 	if t.Bounds.IdleTime > 0 {
-		l.idleTime = t.Bounds.IdleTime
+		l.idleTimeout = t.Bounds.IdleTime
 	}
 	return l
 }
 
-// maxBody is the largest body that is taken now.
+// maxBody returns the current limit on the size of a body.
 func (s *Server) maxBody() int64 {
 	if t := s.scheduler.Table(); t != nil && t.Bounds.BodyBytes > 0 {
 		return t.Bounds.BodyBytes
 	}
-	return s.callers.Load().MaxBody
+	return s.limits.Load().MaxBody
 }
 
-// generation serves the connections that came while the same limits held.
-// When these change, new connections go to a new generation, and the old one's
-// end with their next answer.
+// generation serves the connections that were accepted under the same limits. When the limits
+// change, new connections go to a new generation, and connections of the old one close after
+// their next response.
 type generation struct {
-	limits limits
+	limits connLimits
 	http   *http.Server
 	conns  chan net.Conn
 	addr   net.Addr
 	closed chan struct{}
 	once   sync.Once
-	// old says that another generation has taken over.
-	old atomic.Bool
+	// superseded says that a newer generation exists.
+	superseded atomic.Bool
 }
 
-func (s *Server) newGeneration(l limits, addr net.Addr) *generation {
+func (s *Server) newGeneration(l connLimits, addr net.Addr) *generation {
 	g := &generation{limits: l, conns: make(chan net.Conn), addr: addr, closed: make(chan struct{})}
 	handler := s.handler()
 	g.http = &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if g.old.Load() || s.endsConnections() || connOf(r).wasForwarded() {
+			if g.superseded.Load() || s.closesAfterResponse() || connOf(r).wasForwarded() {
 				w.Header().Set("Connection", "close")
 			}
-			if !s.turnedAway(w, r) {
+			if !s.rejectConnection(w, r) {
 				handler.ServeHTTP(w, r)
 			}
 		}),
-		ConnState:         s.connections.stateChanged,
-		ConnContext:       withConn,
-		ReadHeaderTimeout: l.headerTime,
-		IdleTimeout:       l.idleTime,
-		MaxHeaderBytes:    l.header,
+		ConnState:         s.connections.onStateChange,
+		ConnContext:       connContext,
+		ReadHeaderTimeout: l.headerTimeout,
+		IdleTimeout:       l.idleTimeout,
+		MaxHeaderBytes:    l.headerBytes,
 		TLSConfig:         s.opt.tls,
 		Protocols:         protocols(),
-		ErrorLog:          s.httpLog(),
+		ErrorLog:          s.httpLogger(),
 	}
 	return g
 }
@@ -104,7 +102,7 @@
 // Addr implements net.Listener.
 func (g *generation) Addr() net.Addr { return g.addr }
 
-// serveConn gives a connection to the generation's server.
+// serveConn passes a connection to the generation's HTTP server.
 func (g *generation) serveConn(c net.Conn) {
 	select {
 	case g.conns <- c:
@@ -113,7 +111,7 @@
 	}
 }
 
-// Serve answers callers on ln until Shutdown.
+// Serve accepts and serves connections on ln until Shutdown or Close.
 func (s *Server) Serve(ln net.Listener) error {
 	s.mu.Lock()
 	s.ln = ln
@@ -121,53 +119,53 @@
 	for {
 		c, err := ln.Accept()
 		if err != nil {
-			if s.ended.Load() || errors.Is(err, net.ErrClosed) {
+			if s.stopped.Load() || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
 			var temporary interface{ Temporary() bool }
 			if errors.As(err, &temporary) && temporary.Temporary() {
 				s.opt.log.Warn("accept_failed", "error", err)
-				time.Sleep(acceptPause)
+				time.Sleep(acceptRetryDelay)
 				continue
 			}
-			return fmt.Errorf("front: accept caller: %w", err)
+			return fmt.Errorf("front: accept connection: %w", err)
 		}
-		s.accepted(c, ln.Addr())
+		s.handleAccepted(c, ln.Addr())
 	}
 }
 
-// accepted serves a new connection, or closes it if it cannot even be refused.
-func (s *Server) accepted(nc net.Conn, addr net.Addr) {
-	c := s.admitted(nc)
-	s.logCrowd()
+// handleAccepted serves a new connection, or closes it if there are too many.
+func (s *Server) handleAccepted(nc net.Conn, addr net.Addr) {
+	c := s.trackConn(nc)
+	s.logConnections()
 	if c != nil {
-		s.serveNew(c, addr)
+		s.serveAccepted(c, addr)
 	}
 }
 
-// admitted takes a connection in among the callers'. It returns nil for one that cannot
-// even be refused, which it closes.
-func (s *Server) admitted(nc net.Conn) *conn {
-	c := s.connections.admit(nc, s.callers.Load().MaxConnections, s.clock().Now())
+// trackConn registers a connection. It closes the connection and returns nil if there are too
+// many.
+func (s *Server) trackConn(nc net.Conn) *conn {
+	c := s.connections.add(nc, s.limits.Load().MaxConnections, s.clock().Now())
 	if c == nil {
 		_ = nc.Close()
 	}
 	return c
 }
 
-// endsConnections reports whether each answer ends its connection: this router
-// stops, cannot keep up, or has many connections.
-func (s *Server) endsConnections() bool {
-	return s.leaving.Load() || s.scheduler.Overloaded() || s.connections.crowded(s.callers.Load().MaxConnections)
+// closesAfterResponse reports whether every response closes its connection: the router is
+// leaving, overloaded, or near its connection limit.
+func (s *Server) closesAfterResponse() bool {
+	return s.keepAlivesOff.Load() || s.scheduler.Overloaded() || s.connections.nearLimit(s.limits.Load().MaxConnections)
 }
 
-// acceptPause is the pause after a failure to accept, as when descriptors ran
-// out.
-const acceptPause = 5 * time.Millisecond
+// acceptRetryDelay is the delay after a temporary accept error, such as a lack of file
+// descriptors.
+const acceptRetryDelay = 5 * time.Millisecond
 
-// current returns the generation for the limits that hold now.
-func (s *Server) current(addr net.Addr) *generation {
-	l := s.limitsOf(s.scheduler.Table())
+// currentGeneration returns the generation for the current limits and starts it if needed.
+func (s *Server) currentGeneration(addr net.Addr) *generation {
+	l := s.limitsFor(s.scheduler.Table())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n := len(s.generations); n > 0 {
@@ -175,8 +173,8 @@
 		if last.limits == l {
 			return last
 		}
-		last.old.Store(true)
-		s.opt.log.Info("caller_limits", "header_bytes", l.header, "header_ms", l.headerTime.Milliseconds(), "idle_ms", l.idleTime.Milliseconds())
+		last.superseded.Store(true)
+		s.opt.log.Info("caller_limits", "header_bytes", l.headerBytes, "header_ms", l.headerTimeout.Milliseconds(), "idle_ms", l.idleTimeout.Milliseconds())
 	}
 	g := s.newGeneration(l, addr)
 	s.generations = append(s.generations, g)
@@ -190,16 +188,16 @@
 	return g
 }
 
-// all returns every generation.
-func (s *Server) all() []*generation {
+// allGenerations returns a copy of the list of generations.
+func (s *Server) allGenerations() []*generation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*generation(nil), s.generations...)
 }
 
-// stopListening closes the callers' listener.
+// stopListening closes the listener.
 func (s *Server) stopListening() {
-	s.ended.Store(true)
+	s.stopped.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ln != nil {
--- a/internal/front/models.go
+++ b/internal/front/models.go
@@ -7,24 +7,24 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// models lists the models that the table's backend servers serve.
+// models lists the models that backend servers in the table serve.
 func (s *Server) models(w http.ResponseWriter, r *http.Request) {
-	a := &ask{id: s.requestID(), arrived: s.clock().Now()}
-	if err := s.admit(a, r); err != nil {
-		s.answerTo(w, a).fail(err)
+	in := &inboundRequest{id: s.newRequestID(), arrived: s.clock().Now()}
+	if err := s.readAccountAndHeaders(in, r); err != nil {
+		s.newResponse(w, in).fail(err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(modelList(s.scheduler.Table()))
 }
 
-// ModelList is the answer to PathModels.
+// ModelList is the response to PathModels.
 type ModelList struct {
 	Object string      `json:"object"`
 	Data   []ModelItem `json:"data"`
 }
 
-// ModelItem is one model.
+// ModelItem is one entry of a ModelList.
 type ModelItem struct {
 	ID     string `json:"id"`
 	Object string `json:"object"`
--- a/internal/front/problem.go
+++ b/internal/front/problem.go
@@ -8,39 +8,40 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// Problem is the body of a refusal, as application/problem+json (RFC 9457).
+// Problem is the body of a refusal in the format application/problem+json (RFC 9457).
 type Problem struct {
-	// Type is about:blank, so that Title is the status's own text.
+	// Type is about:blank, so Title is the standard text of Status.
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail"`
-	// Code is the short stable name of the cause.
+	// Code is the short stable identifier of the cause.
 	Code string `json:"code"`
-	// Verdict is not-run, may-have-run or ran.
+	// Verdict is the verdict as text: not-run, may-have-run or ran.
 	Verdict string `json:"verdict"`
-	// RequestID names the request in the fleet's logs.
+	// RequestID is the request's ID in the logs.
 	RequestID string `json:"request_id"`
 }
 
-// Refusals before a request is scheduled. None of them has run.
+// Refusals before a request is scheduled. Their verdict is NotRun.
 var (
-	errNoKey       = verdict.New(verdict.PhaseAdmit, http.StatusUnauthorized, "no-key", "send the account's key as Authorization: Bearer")
-	errWrongKey    = verdict.New(verdict.PhaseAdmit, http.StatusForbidden, "wrong-key", "the key belongs to no client account")
-	errNotFound    = verdict.New(verdict.PhaseAdmit, http.StatusNotFound, "no-such-path", "this path is not served")
-	errNoModel     = verdict.New(verdict.PhaseAdmit, http.StatusNotFound, "no-such-model", "no backend server serves this model or service")
-	errBadJSON     = verdict.New(verdict.PhaseAdmit, http.StatusBadRequest, "bad-json", "the body is not a JSON object with a model")
-	errBadHeader   = verdict.New(verdict.PhaseAdmit, http.StatusBadRequest, "bad-header", "a header of the request cannot be read")
-	errBody        = verdict.New(verdict.PhaseAdmit, http.StatusBadRequest, "body-cut", "the body ended before its end or came too slowly")
-	errBodyTooLong = verdict.New(verdict.PhaseAdmit, http.StatusRequestEntityTooLarge, "body-too-large", "the body is over the limit")
-	errDraining    = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "draining", "this entry instance is stopping; send the request again")
-	errTooManyOpen = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "too-many-open", "this entry instance has too many open requests")
-	errFull        = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "connections-full", "this entry instance has too many connections in use; send the request again, another one may have fewer")
-	errNotReady    = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "no-table", "this entry instance has no table yet")
+	errNoKey           = verdict.New(verdict.PhaseAdmit, http.StatusUnauthorized, "no-key", "send the account's key as Authorization: Bearer")
+	errWrongKey        = verdict.New(verdict.PhaseAdmit, http.StatusForbidden, "wrong-key", "the key belongs to no client account")
+	errNoSuchPath      = verdict.New(verdict.PhaseAdmit, http.StatusNotFound, "no-such-path", "this path is not served")
+	errNoSuchModel     = verdict.New(verdict.PhaseAdmit, http.StatusNotFound, "no-such-model", "no backend server serves this model or service")
+	errBadJSON         = verdict.New(verdict.PhaseAdmit, http.StatusBadRequest, "bad-json", "the body is not a JSON object with a model")
+	errBadHeader       = verdict.New(verdict.PhaseAdmit, http.StatusBadRequest, "bad-header", "a header of the request cannot be read")
+	errBodyCut         = verdict.New(verdict.PhaseAdmit, http.StatusBadRequest, "body-cut", "the body ended before its end or came too slowly")
+	errBodyTooLarge    = verdict.New(verdict.PhaseAdmit, http.StatusRequestEntityTooLarge, "body-too-large", "the body is over the limit")
+	errDraining        = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "draining", "this entry instance is stopping; send the request again")
+	errTooManyOpen     = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "too-many-open", "this entry instance has too many open requests")
+	errConnectionsFull = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "connections-full", "this entry instance has too many connections in use; send the request again, another one may have fewer")
+	errNoTable         = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "no-table", "this entry instance has no table yet")
 )
 
-// asVerdict returns err's verdict error; any other error leaves doubt.
-func asVerdict(err error) *verdict.Error {
+// toVerdictError returns the *verdict.Error in err's chain. Other errors become an internal
+// error with the verdict MayHaveRun.
+func toVerdictError(err error) *verdict.Error {
 	var v *verdict.Error
 	if errors.As(err, &v) {
 		return v
@@ -48,14 +49,14 @@
 	return verdict.New(verdict.PhaseStream, http.StatusInternalServerError, "internal", "the entry instance failed").Wrap(err)
 }
 
-func writeProblem(w http.ResponseWriter, d *HeaderConfig, id string, e *verdict.Error) {
+func writeProblem(w http.ResponseWriter, headers *HeaderConfig, id string, e *verdict.Error) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
 	h.Set(verdict.Header, e.Verdict.String())
-	h.Set(d.RequestID, id)
+	h.Set(headers.RequestID, id)
 	h.Set("Cache-Control", "no-store")
 	if e.RetryAfter > 0 {
-		h.Set("Retry-After", d.retryAfter(e.RetryAfter))
+		h.Set("Retry-After", headers.retryAfter(e.RetryAfter))
 	}
 	w.WriteHeader(e.Status)
 	_ = json.NewEncoder(w).Encode(problemOf(id, e))
--- a/internal/front/reserved.go
+++ b/internal/front/reserved.go
@@ -5,40 +5,38 @@
 	"sync/atomic"
 )
 
-// reserved drops the headers that only the fleet may set on what it sends to
-// backend servers. A backend server would obey them as the fleet's orders.
-type reserved struct {
-	// dropped counts the headers since the start.
-	dropped atomic.Int64
-	logged  throttle
+// reservedHeaders removes headers that only routers may send to backend servers.
+type reservedHeaders struct {
+	// dropped counts the removed headers since the start.
+	dropped     atomic.Int64
+	logThrottle throttle
 }
 
-// drop removes the reserved headers of a request and returns their names.
-func (rs *reserved) drop(h http.Header, names []string) []string {
-	var found []string
+// drop removes the named headers and returns the names of those that were present.
+func (rs *reservedHeaders) drop(h http.Header, names []string) []string {
+	var dropped []string
 	for _, name := range names {
 		if _, sent := h[http.CanonicalHeaderKey(name)]; !sent {
 			continue
 		}
 		h.Del(name)
-		found = append(found, name)
+		dropped = append(dropped, name)
 	}
-	rs.dropped.Add(int64(len(found)))
-	return found
+	rs.dropped.Add(int64(len(dropped)))
+	return dropped
 }
 
-// dropReserved removes what a caller may not set, before anything is read
-// from the request, and logs it once in a while.
-func (s *Server) dropReserved(r *http.Request) {
-	found := s.reserved.drop(r.Header, s.opt.dialect.Reserved)
-	if len(found) == 0 {
+// dropReservedHeaders removes the reserved headers from a request and logs this, rate limited.
+func (s *Server) dropReservedHeaders(r *http.Request) {
+	dropped := s.reservedHeaders.drop(r.Header, s.opt.headers.Reserved)
+	if len(dropped) == 0 {
 		return
 	}
-	if since, due := s.reserved.logged.due(s.clock().Now(), s.reserved.dropped.Load()); due {
-		s.opt.log.Warn("reserved_headers_dropped", "request", r.Header.Get(s.opt.dialect.RequestID), "headers", found, "since_last", since)
+	if added, due := s.reservedHeaders.logThrottle.due(s.clock().Now(), s.reservedHeaders.dropped.Load()); due {
+		s.opt.log.Warn("reserved_headers_dropped", "request", r.Header.Get(s.opt.headers.RequestID), "headers", dropped, "since_last", added)
 	}
 }
 
-// ReservedDropped returns how many headers of callers were dropped since the
-// start because only the fleet may set them.
-func (s *Server) ReservedDropped() int64 { return s.reserved.dropped.Load() }
+// ReservedDropped returns the number of reserved headers removed from requests since the
+// start.
+func (s *Server) ReservedDropped() int64 { return s.reservedHeaders.dropped.Load() }
--- a/internal/front/retry.go
+++ b/internal/front/retry.go
@@ -8,42 +8,38 @@
 )
 
 const (
-	// returnFrom and returnUpTo are the parts of the time left to a request between
-	// which its caller is told to come back when more is asked than can be served. A
-	// balancer sends it to the same router again, and while the flood lasts it would
-	// only be refused again, in the time that the router has for work: with 60 to
-	// 120 ms, 3,652 requests of a flooding account were answered in 24 s, 6,105 with
-	// these (61 routers, one play each). Up to a third, so that the request may still
-	// be answered then.
-	returnFrom = 1.0 / 6
-	returnUpTo = 1.0 / 3
-	// latestReturn bounds that for requests with much time: floods last some seconds.
-	latestReturn = 5 * time.Second
+	// The delay before a retry is between these fractions of the time left to a request.
+	// Earlier retries would only be refused again and cost processor time while the overload
+	// lasts; later ones would leave too little time to answer the request.
+	minRetryFraction = 1.0 / 6
+	maxRetryFraction = 1.0 / 3
+	// maxRetryDelay bounds the delay for requests with distant deadlines.
+	maxRetryDelay = 5 * time.Second
 )
 
-// RetryDelay returns when the caller of a request that has so much time left may
-// come back, where more is asked than can be served: late, and spread by chance.
-func RetryDelay(left time.Duration) time.Duration {
-	from := min(time.Duration(returnFrom*float64(left)), latestReturn/2)
-	upTo := min(time.Duration(returnUpTo*float64(left)), latestReturn)
-	return max(time.Millisecond, from+rand.N(max(1, upTo-from)))
+// RetryDelay returns a random delay after which a refused request may be retried, given the
+// time remaining until its deadline.
+func RetryDelay(remaining time.Duration) time.Duration {
+	low := min(time.Duration(minRetryFraction*float64(remaining)), maxRetryDelay/2)
+	high := min(time.Duration(maxRetryFraction*float64(remaining)), maxRetryDelay)
+	return max(time.Millisecond, low+rand.N(max(1, high-low)))
 }
 
-// statedTime returns how much time the header of a request states, or that it cannot
-// be read.
-func (s *Server) statedTime(r *http.Request) (time.Duration, bool) {
-	v := r.Header.Get(s.opt.dialect.Deadline)
-	if v == "" {
-		return s.callers.Load().Deadline, true
+// requestTimeout returns the timeout that the request states, or the default. It returns false
+// if the header is invalid.
+func (s *Server) requestTimeout(r *http.Request) (time.Duration, bool) {
+	value := r.Header.Get(s.opt.headers.Deadline)
+	if value == "" {
+		return s.limits.Load().Deadline, true
 	}
-	ms, err := strconv.ParseInt(v, 10, 64)
+	ms, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || ms <= 0 {
 		return 0, false
 	}
-	return boundedWait(ms), true
+	return clampTimeout(ms), true
 }
 
-// boundedWait returns for how long a caller waits that says so in milliseconds.
-func boundedWait(ms int64) time.Duration {
+// clampTimeout converts a timeout in milliseconds, at most MaxDeadline.
+func clampTimeout(ms int64) time.Duration {
 	return time.Duration(min(ms, MaxDeadline.Milliseconds())) * time.Millisecond
 }
--- a/internal/front/routed.go
+++ b/internal/front/routed.go
@@ -14,244 +14,245 @@
 )
 
 const (
-	// wholeAnswer is up to how many bytes a plain answer is taken whole
-	// before it is passed on.
-	wholeAnswer = 64 << 10
-	// patiencePart of the target is how long a request may wait that may yet
-	// be refused. A caller makes use of a refusal that it hears within a quarter of
-	// its target, of which its own way here and back takes a part: 15 ms of a
-	// target of 300 ms are left for that.
-	patiencePart = 5
-	// maxUnsent bounds the attempts that did not reach a backend server.
-	maxUnsent = 8
+	// bufferLimit is the size, in bytes, up to which a plain response is read completely
+	// before it is relayed.
+	bufferLimit = 64 << 10
+	// maxWaitDivisor divides the latency target into the time after which a waiting request is
+	// refused. A refusal is useful to callers within a quarter of the target, network time
+	// included; a fifth leaves time for that.
+	maxWaitDivisor = 5
+	// maxUnsentAttempts bounds the attempts that did not reach a backend server.
+	maxUnsentAttempts = 8
 )
 
 // Refusals of routed requests.
 var (
-	errUnknownKey = verdict.New(verdict.PhaseAdmit, http.StatusUnauthorized, "unknown-key", "no client account has this key")
-	errNoID       = verdict.New(verdict.PhaseAdmit, http.StatusBadRequest, "no-request-id", "the header with the request's id is missing")
+	errUnknownKey  = verdict.New(verdict.PhaseAdmit, http.StatusUnauthorized, "unknown-key", "no client account has this key")
+	errNoRequestID = verdict.New(verdict.PhaseAdmit, http.StatusBadRequest, "no-request-id", "the header with the request's id is missing")
 )
 
-// routing is what a request's route adds to it.
-type routing struct {
+// routeState is the state of a routed request.
+type routeState struct {
 	*table.Route
 	prompt
-	// sent counts the backend servers that were sent the request, unsent the
-	// attempts that reached none.
+	// sent counts the attempts that reached a backend server, unsent those that did not.
 	sent, unsent int
 	avoid        []string
-	// lastEvent is the last event that the caller has.
+	// lastEvent is the number of the last event that the caller received.
 	lastEvent uint64
-	began     bool
-	// doubt says that the request may have run already.
-	doubt bool
-	// paid says that the next attempt was taken out of the allowance already.
-	paid atomic.Bool
+	started   bool
+	// mayHaveRun says that an earlier attempt may have run.
+	mayHaveRun bool
+	// retryPaid says that the next attempt has already been taken from the retry budget.
+	retryPaid atomic.Bool
 }
 
-// pathOf returns the path as the caller wrote it, without the query.
+// pathOf returns the path as sent by the caller, without the query.
 func pathOf(r *http.Request) string {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	return path
 }
 
-// routed serves a request by its route.
-func (s *Server) routed(w http.ResponseWriter, r *http.Request, t *table.Table, route *table.Route) {
-	a := &ask{
-		id: r.Header.Get(s.opt.dialect.RequestID), arrived: s.clock().Now(), method: r.Method, host: r.Host, path: r.RequestURI,
-		route: &routing{Route: route}, model: route.Pick(rand.Float64()),
-		events: route.Stream, once: route.Repeat == table.RepeatNever,
+// serveRoute handles a request that matches a route.
+func (s *Server) serveRoute(w http.ResponseWriter, r *http.Request, t *table.Table, route *table.Route) {
+	in := &inboundRequest{
+		id: r.Header.Get(s.opt.headers.RequestID), arrived: s.clock().Now(), method: r.Method, host: r.Host, path: r.RequestURI,
+		route: &routeState{Route: route}, model: route.Pick(rand.Float64()),
+		mayStream: route.Stream, notRepeatable: route.Repeat == table.RepeatNever,
 	}
-	s.serve(w, r, a, func() *verdict.Error { return s.readRouted(w, r, t, a) })
+	s.serve(w, r, in, func() *verdict.Error { return s.readRoutedRequest(w, r, t, in) })
 }
 
-func (s *Server) readRouted(w http.ResponseWriter, r *http.Request, t *table.Table, a *ask) *verdict.Error {
-	if _, err := s.tableFor(r); err != nil {
+// readRoutedRequest authenticates and reads a routed request. It asks the scheduler to admit
+// the request before it reads the body, unless the early check has done so.
+func (s *Server) readRoutedRequest(w http.ResponseWriter, r *http.Request, t *table.Table, in *inboundRequest) *verdict.Error {
+	if _, err := s.currentTable(r); err != nil {
 		return err
 	}
-	if a.id == "" {
-		return errNoID
+	if in.id == "" {
+		return errNoRequestID
 	}
-	if err := s.readAccount(a, r, t); err != nil {
+	if err := s.readAccount(in, r, t); err != nil {
 		return err
 	}
-	if err := s.readStated(a, r); err != nil {
+	if err := s.readRoutedHeaders(in, r); err != nil {
 		return err
 	}
-	if c := connOf(r); !c.wasScreened() {
-		req := a.request()
+	if c := connOf(r); !c.consumeAdmissionCheck() {
+		req := in.schedulerRequest()
 		req.Forwarded = c.wasForwarded()
 		if err := s.scheduler.CheckAdmission(req); err != nil {
 			return err
 		}
 	}
 	body, err := s.readBody(w, r)
-	a.body = body
+	in.body = body
 	return err
 }
 
-func (s *Server) readAccount(a *ask, r *http.Request, t *table.Table) *verdict.Error {
-	if a.route.Public {
+func (s *Server) readAccount(in *inboundRequest, r *http.Request, t *table.Table) *verdict.Error {
+	if in.route.Public {
 		return nil
 	}
-	d := &s.opt.dialect
-	key, ok := strings.CutPrefix(r.Header.Get(d.Key), d.KeyPrefix)
+	headers := &s.opt.headers
+	key, ok := strings.CutPrefix(r.Header.Get(headers.Key), headers.KeyPrefix)
 	if !ok || key == "" {
 		return errUnknownKey
 	}
-	account, ok := accountOf(t, []byte(key))
+	account, ok := accountByKey(t, []byte(key))
 	if !ok {
 		return errUnknownKey
 	}
-	a.account = account
+	in.account = account
 	return nil
 }
 
-// readStated reads what the headers state: deadline, prompt, last event.
-func (s *Server) readStated(a *ask, r *http.Request) *verdict.Error {
-	d := &s.opt.dialect
-	wait, ok := s.statedTime(r)
+// readRoutedHeaders reads the deadline, the last event and the prompt's sizes from the
+// headers.
+func (s *Server) readRoutedHeaders(in *inboundRequest, r *http.Request) *verdict.Error {
+	headers := &s.opt.headers
+	timeout, ok := s.requestTimeout(r)
 	if !ok {
-		return badHeader(d.Deadline)
+		return badHeader(headers.Deadline)
 	}
-	a.deadline = a.arrived.Add(wait)
-	if held := a.arrived.Add(a.route.Timeout); a.route.Timeout > 0 && held.Before(a.deadline) {
-		a.deadline = held
+	in.deadline = in.arrived.Add(timeout)
+	if routeDeadline := in.arrived.Add(in.route.Timeout); in.route.Timeout > 0 && routeDeadline.Before(in.deadline) {
+		in.deadline = routeDeadline
 	}
-	if v := r.Header.Get(d.LastEvent); v != "" {
+	if v := r.Header.Get(headers.LastEvent); v != "" {
 		n, err := strconv.ParseUint(v, 10, 64)
 		if err != nil {
-			return badHeader(d.LastEvent)
+			return badHeader(headers.LastEvent)
 		}
-		a.route.lastEvent = n
+		in.route.lastEvent = n
 	}
-	p, err := d.readPrompt(r.Header)
-	a.route.prompt = p
+	p, err := headers.parsePrompt(r.Header)
+	in.route.prompt = p
 	return err
 }
 
-// describe tells the scheduler what the route says of the request.
-func (x *routing) describe(req *Request) {
-	req.Prefix = x.prefix
-	req.Rank = x.Rank
-	req.Prompt, req.Shared, req.Output = x.tokens, x.shared, x.output
-	req.Target = x.Target
-	req.MaxWait = x.Target / patiencePart
-	req.Avoid = x.avoid
-	req.MayHaveRun, req.Resuming = x.doubt, x.began
+// fillRequest fills in the fields that depend on the route and earlier attempts.
+func (state *routeState) fillRequest(req *Request) {
+	req.Prefix = state.prefix
+	req.Rank = state.Rank
+	req.Prompt, req.Shared, req.Output = state.tokens, state.shared, state.output
+	req.Target = state.Target
+	req.MaxWait = state.Target / maxWaitDivisor
+	req.Avoid = state.avoid
+	req.MayHaveRun, req.Resuming = state.mayHaveRun, state.started
 }
 
-// tried notes how an attempt ended.
-func (x *routing) tried(g Grant, result backend.Result) {
+// recordAttempt updates the state with the result of an attempt.
+func (state *routeState) recordAttempt(grant Grant, result backend.Result) {
 	if result.Sent {
-		x.sent++
+		state.sent++
 	} else {
-		x.unsent++
+		state.unsent++
 	}
-	x.lastEvent = result.LastEvent
-	x.began = x.began || result.Began
-	x.doubt = x.doubt || result.Sent && result.Err != nil && result.Err.Verdict != verdict.NotRun
+	state.lastEvent = result.LastEvent
+	state.started = state.started || result.Began
+	state.mayHaveRun = state.mayHaveRun || result.Sent && result.Err != nil && result.Err.Verdict != verdict.NotRun
 	if result.Err != nil {
-		x.avoid = append(x.avoid, g.Backend)
+		state.avoid = append(state.avoid, grant.Backend)
 	}
 }
 
-// againRouted reports whether a routed request is tried once more.
-func (s *Server) againRouted(a *ask, result backend.Result, err *verdict.Error) bool {
-	x := a.route
+// shouldRetryRouted reports whether to attempt a routed request again.
+func (s *Server) shouldRetryRouted(in *inboundRequest, result backend.Result, err *verdict.Error) bool {
+	state := in.route
 	if result.Err == nil {
-		// It was refused a place, which another try would not mend.
+		// The scheduler granted no slot; it would refuse again.
 		return false
 	}
-	if err.Code == "caller-gone" || x.sent >= x.MaxAttempts() || x.unsent >= maxUnsent {
+	if err.Code == "caller-gone" || state.sent >= state.MaxAttempts() || state.unsent >= maxUnsentAttempts {
 		return false
 	}
-	if x.began && x.Repeat != table.RepeatResume {
+	if state.started && state.Repeat != table.RepeatResume {
 		return false
 	}
-	if err.Verdict != verdict.NotRun && x.Repeat == table.RepeatNever {
+	if err.Verdict != verdict.NotRun && state.Repeat == table.RepeatNever {
 		return false
 	}
-	return !result.Sent || x.paid.Swap(false) || s.scheduler.SpendRetry(a.request())
+	return !result.Sent || state.retryPaid.Swap(false) || s.scheduler.SpendRetry(in.schedulerRequest())
 }
 
 const (
-	// leastPatience is for how long a backend server may be silent at least
-	// before its requests are taken elsewhere.
-	leastPatience = 500 * time.Millisecond
-	// firstTargets and betweenPauses are how many times its target a first
-	// event may be late, and its longest pause an event, while nothing else
-	// comes from there either.
-	firstTargets  = 2
-	betweenPauses = 3
+	// minStallTimeout is the least time without data before a request moves to another backend
+	// server.
+	minStallTimeout = 500 * time.Millisecond
+	// A backend server is considered stalled if it sends nothing, on any connection, for
+	// stallTargets times the latency target before the first event, or for stallPauses times
+	// the route's pause between events.
+	stallTargets = 2
+	stallPauses  = 3
 )
 
-// patience is how long the backend server of a request that may be sent to
-// another one may be silent.
-func (s *Server) patience(a *ask) backend.Failover {
-	x := a.route
-	if x.Repeat == table.RepeatNever || x.sent+1 >= x.MaxAttempts() {
+// failover returns when to move the request from a stalled backend server to another one.
+func (s *Server) failover(in *inboundRequest) backend.Failover {
+	state := in.route
+	if state.Repeat == table.RepeatNever || state.sent+1 >= state.MaxAttempts() {
 		return backend.Failover{}
 	}
-	req := a.request()
+	req := in.schedulerRequest()
 	p := backend.Failover{
-		FirstByteTimeout: max(leastPatience, firstTargets*x.Target),
+		FirstByteTimeout: max(minStallTimeout, stallTargets*state.Target),
 		AcquireRetry: func() bool {
 			if !s.scheduler.SpendRetry(req) {
 				return false
 			}
-			x.paid.Store(true)
+			state.retryPaid.Store(true)
 			return true
 		},
 	}
-	if x.Repeat == table.RepeatResume {
-		p.EventTimeout = max(leastPatience, betweenPauses*x.Pause)
+	if state.Repeat == table.RepeatResume {
+		p.EventTimeout = max(minStallTimeout, stallPauses*state.Pause)
 	}
 	return p
 }
 
-func (s *Server) routedCall(a *ask, r *http.Request, g Grant) backend.Call {
+func (s *Server) routedBackendCall(in *inboundRequest, r *http.Request, grant Grant) backend.Call {
 	header := r.Header.Clone()
-	header.Del(s.opt.dialect.Key)
+	header.Del(s.opt.headers.Key)
 	return backend.Call{
-		Address: g.Address, Instance: g.Backend, StartTime: g.StartTime, Host: r.Host, Method: r.Method, Path: a.path, Header: header, Body: a.body,
-		RequestID: a.id, Account: a.account.Name, Deadline: a.deadline, NotRepeatable: a.once, MayStream: a.events, Opaque: true,
-		Resume: a.route.began, LastEvent: a.route.lastEvent, BufferLimit: wholeAnswer,
-		WithholdServerErrors: a.route.Repeat != table.RepeatNever && a.route.sent+1 < a.route.MaxAttempts(),
-		CopyPrefixFrom:       g.CopyPrefixFrom, MaxConnections: g.MaxConnections, Failover: s.patience(a), MayStart: g.MayStart, Served: g.Served, OnFirstByte: g.OnFirstEvent, OnNotice: g.OnNotice,
-		BatchDelay: s.gatherFor(a.route, g.Saturated),
+		Address: grant.Address, Instance: grant.Backend, StartTime: grant.StartTime, Host: r.Host, Method: r.Method, Path: in.path, Header: header, Body: in.body,
+		RequestID: in.id, Account: in.account.Name, Deadline: in.deadline, NotRepeatable: in.notRepeatable, MayStream: in.mayStream, Opaque: true,
+		Resume: in.route.started, LastEvent: in.route.lastEvent, BufferLimit: bufferLimit,
+		WithholdServerErrors: in.route.Repeat != table.RepeatNever && in.route.sent+1 < in.route.MaxAttempts(),
+		CopyPrefixFrom:       grant.CopyPrefixFrom, MaxConnections: grant.MaxConnections, Failover: s.failover(in), MayStart: grant.MayStart, Served: grant.Served, OnFirstByte: grant.OnFirstEvent, OnNotice: grant.OnNotice,
+		BatchDelay: s.batchDelay(in.route, grant.Saturated),
 	}
 }
 
-// A router without time gathers a stream's events for gatherPart of the time within
-// which they are to reach the caller, and for gatherPause of the longest pause that
-// is in time at the most.
+// The delay for batching events while the router is saturated: batchDelayFraction of the
+// maximum event delay, but at most batchPauseFraction of the route's pause between events.
 const (
-	gatherPart  = 1.0 / 3
-	gatherPause = 1.0 / 4
+	batchDelayFraction = 1.0 / 3
+	batchPauseFraction = 1.0 / 4
 )
 
-// gatherFor returns what tells for how long a stream's events are gathered.
-func (s *Server) gatherFor(x *routing, hurried func() bool) func() time.Duration {
-	if hurried == nil {
+// batchDelay returns a function for the current batching delay, nil if events are never
+// batched.
+func (s *Server) batchDelay(state *routeState, saturated func() bool) func() time.Duration {
+	if saturated == nil {
 		return nil
 	}
 	return func() time.Duration {
-		if !hurried() {
+		if !saturated() {
 			return 0
 		}
-		wait := time.Duration(gatherPart * float64(s.callers.Load().MaxEventDelay))
-		if x.Pause > 0 {
-			wait = min(wait, time.Duration(gatherPause*float64(x.Pause)))
+		delay := time.Duration(batchDelayFraction * float64(s.limits.Load().MaxEventDelay))
+		if state.Pause > 0 {
+			delay = min(delay, time.Duration(batchPauseFraction*float64(state.Pause)))
 		}
-		return wait
+		return delay
 	}
 }
 
-// final turns an error into what the caller is told: a request that did not
-// run gets a promise that it will not, and a time to come back.
-func (a *ask) final(e *verdict.Error) *verdict.Error {
-	if a.route == nil || e.Status < http.StatusInternalServerError {
+// finalError adjusts a routed request's error before it is sent to the caller: a request that
+// did not run gets status 503 with a retry delay, any other a status that does not invite a
+// retry.
+func (in *inboundRequest) finalError(e *verdict.Error) *verdict.Error {
+	if in.route == nil || e.Status < http.StatusInternalServerError {
 		return e
 	}
 	c := *e
@@ -265,11 +266,11 @@
 	}
 	c.Status = http.StatusServiceUnavailable
 	if c.RetryAfter == 0 {
-		c.RetryAfter = comeBack
+		c.RetryAfter = defaultRetryAfter
 	}
 	return &c
 }
 
-// comeBack is when the caller of a request that did not run may try again
-// where nothing better is known.
-const comeBack = 250 * time.Millisecond
+// defaultRetryAfter is the retry delay of requests that did not run, unless another one is
+// set.
+const defaultRetryAfter = 250 * time.Millisecond
--- a/internal/front/scheduler.go
+++ b/internal/front/scheduler.go
@@ -10,136 +10,133 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// Scheduler says when and where a request runs.
+// Scheduler decides when and on which backend server a request runs.
 type Scheduler interface {
-	// Table returns the table in force, nil before there is one.
+	// Table returns the current table, nil before the first one.
 	Table() *table.Table
-	// CheckAdmission refuses a request that has no chance, before its body is read.
+	// CheckAdmission refuses a request that would be refused anyway, before its body is read.
 	CheckAdmission(r Request) *verdict.Error
-	// MayForward reports whether a request that CheckAdmission refused for want of time may be
-	// handed on to a router that has some.
+	// MayForward reports whether a request that CheckAdmission refused for lack of capacity
+	// may be forwarded to another router.
 	MayForward(r Request) bool
-	// Overloaded reports whether this router cannot keep up with its requests,
-	// so that callers had better come by another one.
+	// Overloaded reports whether this router cannot keep up and callers should use another
+	// one.
 	Overloaded() bool
-	// Shedding reports whether many requests are refused here now, or this router is
-	// short of time.
+	// Shedding reports whether this router is refusing many requests or lacks processor time.
 	Shedding() bool
-	// Acquire waits for a slot. Its error is a *verdict.Error, or ctx's.
+	// Acquire waits for a slot. Its error is a *verdict.Error or the error of ctx.
 	Acquire(ctx context.Context, r Request) (Grant, error)
-	// Release gives the slot back.
+	// Release returns the slot.
 	Release(g Grant, u Usage)
-	// SpendRetry takes one retry of the request out of the budget.
+	// SpendRetry takes a retry from the budget and reports whether one was left.
 	SpendRetry(r Request) bool
-	// Claim takes a caller's idempotency key for this request. Its error is
-	// a *verdict.Error that says what became of the request.
+	// Claim reserves the idempotency key for this request. If the key is in use, the error is
+	// a *verdict.Error that describes the state of the earlier request.
 	Claim(ctx context.Context, c Claim) error
-	// Unclaim takes a claim back, because its request did not run.
+	// Unclaim releases a claim whose request did not run.
 	Unclaim(c Claim)
 }
 
-// Request is what the scheduler needs to know of a request.
+// Request describes a request to the scheduler.
 type Request struct {
-	// Forwarded says that another router handed it on: its account's share was looked
-	// at there.
+	// Forwarded says that another router forwarded the request after checking its account's
+	// share.
 	Forwarded bool
 
 	Account  string
 	Model    string
 	Priority int
 	Deadline time.Time
-	// Waited is how long the request waited before an earlier attempt.
+	// Waited is how long the request has waited for earlier attempts.
 	Waited time.Duration
-	// Attempt counts from 0.
+	// Attempt is the number of earlier attempts.
 	Attempt int
-	// Prefix is a hash of the prompt's beginning, 0 if there is none.
+	// Prefix is a hash of the prompt's start, 0 if there is none.
 	Prefix uint64
-	// ID is the request's id, for logs.
+	// ID is the request's ID, for logs.
 	ID string
-	// Rank orders waiting requests, account before route: lower goes first.
+	// AccountRank and Rank order waiting requests, by account before route; lower ranks go
+	// first.
 	AccountRank, Rank int
-	// Prompt and Output are the stated sizes in tokens, 0 if not stated;
-	// Shared is the part of the prompt that other requests share.
+	// Prompt and Output are the stated sizes in tokens, 0 if unknown. Shared is the part of
+	// the prompt that other requests share.
 	Prompt, Shared, Output int64
-	// Target is the time within which the first event, or the whole answer of
-	// a plain service, is worth most; 0 if not stated.
+	// Target is the latency target for the first event, or for the whole response of a plain
+	// service; 0 means none.
 	Target time.Duration
-	// MaxWait is how long the request may wait before it is refused; 0 means
-	// until its deadline.
+	// MaxWait is how long the request may wait before it is refused; 0 means until its
+	// deadline.
 	MaxWait time.Duration
-	// MayHaveRun says that the request may have run at one of the backend servers
-	// that it was sent to.
+	// MayHaveRun says that an earlier attempt may have run.
 	MayHaveRun bool
-	// Avoid lists backend servers that failed the request.
+	// Avoid lists the backend servers on which earlier attempts failed.
 	Avoid []string
-	// Resuming says that its answer has begun, so that it goes on where that ended.
+	// Resuming says that part of the response was sent, so the next attempt must continue it.
 	Resuming bool
-	// Digest works out what identifies the request, whichever try it is; nil if nobody
-	// can.
+	// Digest returns a hash that is equal for all attempts of the request; it may be nil.
 	Digest func() uint64
 }
 
-// Grant is a slot of a backend server.
+// Grant is permission to run a request on a backend server.
 type Grant struct {
 	ID      uint64
 	Backend string
 	Address string
-	// StartTime is when the backend server started, 0 if it does not say.
+	// StartTime is when the backend server started, 0 if unknown.
 	StartTime int64
-	// CopyPrefixFrom is the address of a backend server from which the prompt's shared
-	// parts are copied, "" if they need not be.
+	// CopyPrefixFrom is the address of a backend server from which to copy the prompt's cached
+	// prefix, "" for none.
 	CopyPrefixFrom string
-	// Reason says in a word how the backend server was chosen.
+	// Reason is a short code for why the backend server was chosen.
 	Reason string
-	// TokensAhead is the tokens that are to be read there before the first event,
-	// Expected when that is expected, Running how many requests are there.
+	// TokensAhead is the number of tokens that the backend server processes before the
+	// request's first event, ExpectedFirstEvent the estimated time until then, Running the
+	// number of requests on it.
 	TokensAhead        int64
 	ExpectedFirstEvent time.Duration
 	Running            int
-	// MaxConnections is this router's part of the connections that the backend server
-	// takes, 0 if that is not known.
+	// MaxConnections is this router's share of the backend server's connections; 0 means no
+	// limit.
 	MaxConnections int
-	// MayStart reports whether the lease allows the first byte now.
+	// MayStart reports whether the lease still permits sending the first byte.
 	MayStart func() bool
-	// Served counts the tokens as they come.
+	// Served counts the tokens generated so far.
 	Served *atomic.Int64
-	// Waited is how long the request has waited in all.
+	// Waited is the total time that the request has waited.
 	Waited time.Duration
-	// OnFirstEvent is called when the first event came; nil if nobody asks.
+	// OnFirstEvent is called when the first event arrives; it may be nil.
 	OnFirstEvent func()
-	// OnNotice is called with what the backend server says of itself, when that comes; nil
-	// if nobody asks.
+	// OnNotice is called with what the backend server announces about itself; it may be nil.
 	OnNotice func(backend.Notice)
-	// Saturated reports whether this router has no time to pass each event on by
-	// itself; nil if it always has.
+	// Saturated reports whether this router lacks processor time to relay each event
+	// separately. It may be nil.
 	Saturated func() bool
 }
 
-// Usage is how a slot was used.
+// Usage reports how a slot was used.
 type Usage struct {
 	Tokens int64
-	// Sent says whether any byte of the request was sent.
+	// Sent says that at least one byte of the request was sent.
 	Sent bool
-	// Unreachable says that the backend server could not be reached.
+	// Unreachable says that no connection to the backend server could be made.
 	Unreachable bool
-	// Status is the answer's status, 0 if none came.
+	// Status is the status of the response, 0 if there was none.
 	Status int
-	// Error is how the attempt failed, nil if the answer was passed on.
+	// Error is the failure of the attempt, nil if the response was relayed completely.
 	Error *verdict.Error
-	// Stalled says that the backend server said nothing for too long.
+	// Stalled says that the backend server sent nothing for too long.
 	Stalled bool
-	// Request is the request's id, Digest works out what identifies it whichever try it
-	// is; nil if nobody can.
+	// Request is the request's ID. Digest is as in Request.
 	Request string
 	Digest  func() uint64
 }
 
-// Claim is a caller's idempotency key.
+// Claim is the use of an idempotency key by a request.
 type Claim struct {
 	Account string
-	// Request is the id of the request that uses the key.
+	// Request is the ID of the request that uses the key.
 	Request string
 	Key     string
-	// FirstUsed is when the caller first used the key, the zero time if not said.
+	// FirstUsed is when the caller first used the key, zero if unknown.
 	FirstUsed time.Time
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -1,6 +1,5 @@
-// Package front answers callers: it finds out whose request it is, what it
-// asks for and by when, lets the scheduler say when it runs, and passes the
-// answer on.
+// Package front serves callers. It authenticates and parses requests, asks the scheduler for a
+// slot on a backend server, sends the request there and relays the response.
 package front
 
 import (
@@ -21,57 +20,57 @@
 	"github.com/yarrowmast/yarrowmast/internal/clock"
 )
 
-// The defaults of the callers' listener.
+// Default limits.
 const (
-	// DefaultMaxBody is the largest request body, in bytes.
+	// DefaultMaxBody is the maximum size of a request body, in bytes.
 	DefaultMaxBody = 8 << 20
-	// DefaultMaxHeader is the largest request header, in bytes.
+	// DefaultMaxHeader is the maximum size of a request header, in bytes.
 	DefaultMaxHeader = 64 << 10
-	// DefaultDeadline is how long a request may take that states none.
+	// DefaultDeadline applies to requests that state no deadline.
 	DefaultDeadline = 5 * time.Minute
-	// MaxDeadline is the longest deadline a caller may state.
+	// MaxDeadline is the longest deadline that a caller may request.
 	MaxDeadline = time.Hour
-	// DefaultIOTimeout is how long a caller may take for one read or write.
+	// DefaultIOTimeout bounds one read from or write to a caller.
 	DefaultIOTimeout = 30 * time.Second
-	// DefaultMaxOpen is how many requests may be open at once.
+	// DefaultMaxOpen is the maximum number of open requests.
 	DefaultMaxOpen = 20_000
-	// DefaultMaxEventDelay is within what time an event is to reach its caller.
+	// DefaultMaxEventDelay is the maximum delay of an event on its way to the caller.
 	DefaultMaxEventDelay = 200 * time.Millisecond
 	headerTimeout        = 10 * time.Second
 	idleTimeout          = 2 * time.Minute
 )
 
-// Paths that callers use.
+// Paths of the built-in API.
 const (
 	PathCompletions = "/v1/completions"
 	PathChat        = "/v1/chat/completions"
 	PathModels      = "/v1/models"
-	// PathServices is followed by the service's name and its own path.
+	// PathServices is followed by the name of a service and the path to request there.
 	PathServices = "/services/"
 )
 
-// Backend runs a call on a backend server.
+// Backend runs a request on a backend server.
 type Backend interface {
 	Do(ctx context.Context, call backend.Call, sink backend.Sink) backend.Result
 }
 
-// Observer is told how requests ended.
+// Observer receives the outcomes of requests.
 type Observer interface {
 	// RequestEnded is called once for each request.
 	RequestEnded(o Outcome)
 }
 
-// Outcome is how one request ended.
+// Outcome describes how a request ended.
 type Outcome struct {
 	Account string
 	Model   string
-	// Status and Code are what the caller was told; Code is "" for success.
+	// Status and Code are those of the response; Code is "" for success.
 	Status int
 	Code   string
-	// Verdict is as in the response header.
+	// Verdict is the verdict as in the response header.
 	Verdict string
-	// Waited is the time before the request started, FirstByte the time to
-	// the first byte of the answer, Total the whole, all from its arrival.
+	// Waited is the time spent waiting for slots. FirstByte is the time to the response's
+	// first byte and Total the whole duration, both from the request's arrival.
 	Waited    time.Duration
 	FirstByte time.Duration
 	Total     time.Duration
@@ -79,29 +78,28 @@
 	Attempts  int
 }
 
-// Server is the callers' listener.
+// Server serves callers over HTTP.
 type Server struct {
 	opt       options
 	scheduler Scheduler
 	backend   Backend
 	name      string
-	// idBase makes request ids unique to this start of the router.
-	idBase string
-	nextID atomic.Uint64
-	open   atomic.Int64
-	// requests counts all that came since the start.
-	requests    atomic.Int64
-	callers     atomic.Pointer[CallerLimits]
-	reserved    reserved
-	connections connections
-	crowdLog    throttle
-	draining    atomic.Bool
-	// early counts the connections that are looked at, or handed on, before the HTTP
-	// server has them.
-	early atomic.Int64
-	// leaving says that each connection ends with its next answer, ended that
-	// no more are accepted.
-	leaving, ended atomic.Bool
+	// idPrefix makes request IDs unique across restarts of the router.
+	idPrefix     string
+	nextID       atomic.Uint64
+	openRequests atomic.Int64
+	// requests counts all requests since the start.
+	requests        atomic.Int64
+	limits          atomic.Pointer[CallerLimits]
+	reservedHeaders reservedHeaders
+	connections     connections
+	connectionLog   throttle
+	draining        atomic.Bool
+	// earlyConns is the number of connections in the early check or being forwarded.
+	earlyConns atomic.Int64
+	// keepAlivesOff says that connections close after their next response, stopped that the
+	// listener is closed.
+	keepAlivesOff, stopped atomic.Bool
 
 	mu          sync.Mutex
 	ln          net.Listener
@@ -109,39 +107,37 @@
 }
 
 type options struct {
-	callers    CallerLimits
+	limits     CallerLimits
 	tls        *tls.Config
 	log        *slog.Logger
 	observer   Observer
-	dialect    HeaderConfig
+	headers    HeaderConfig
 	routesOnly bool
 	forwarder  Forwarder
 	clock      *clock.Clock
 }
 
-// Option changes a new Server.
+// Option configures a new Server.
 type Option func(*options)
 
-// CallerLimits bounds what callers may do.
+// CallerLimits are the limits on callers.
 type CallerLimits struct {
-	// MaxBody is the largest request body, MaxHeader the largest header, in
-	// bytes.
+	// MaxBody is the maximum size of a request body, MaxHeader of a header, in bytes.
 	MaxBody   int64
 	MaxHeader int
-	// Deadline is for requests that state none.
+	// Deadline applies to requests that state none.
 	Deadline time.Duration
 	// IOTimeout bounds one read from or write to a caller.
 	IOTimeout time.Duration
-	// MaxOpen bounds the requests open at once, MaxConnections the
-	// connections; 0 means any number of these.
+	// MaxOpen bounds the open requests, MaxConnections the connections; 0 connections means no
+	// limit.
 	MaxOpen        int64
 	MaxConnections int
-	// MaxEventDelay is within what time an event that a backend server sent is to
-	// reach its caller.
+	// MaxEventDelay is the maximum delay of a backend server's event on its way to the caller.
 	MaxEventDelay time.Duration
 }
 
-// DefaultCallerLimits is what callers may do unless settings say otherwise.
+// DefaultCallerLimits returns the limits that apply without settings.
 func DefaultCallerLimits() CallerLimits {
 	return CallerLimits{
 		MaxBody: DefaultMaxBody, MaxHeader: DefaultMaxHeader, Deadline: DefaultDeadline,
@@ -149,62 +145,60 @@
 	}
 }
 
-// WithCallerLimits sets what callers may do.
-func WithCallerLimits(c CallerLimits) Option { return func(o *options) { o.callers = c } }
+// WithCallerLimits sets the limits on callers.
+func WithCallerLimits(limits CallerLimits) Option { return func(o *options) { o.limits = limits } }
 
-// WithMaxBody sets the largest request body, in bytes.
-func WithMaxBody(n int64) Option { return func(o *options) { o.callers.MaxBody = n } }
+// WithMaxBody sets the maximum size of a request body, in bytes.
+func WithMaxBody(n int64) Option { return func(o *options) { o.limits.MaxBody = n } }
 
 // WithIOTimeout bounds one read from or write to a caller.
-func WithIOTimeout(d time.Duration) Option { return func(o *options) { o.callers.IOTimeout = d } }
+func WithIOTimeout(d time.Duration) Option { return func(o *options) { o.limits.IOTimeout = d } }
 
-// SetCallerLimits changes what callers may do from now on; what bounds a
-// connection holds for new ones.
-func (s *Server) SetCallerLimits(c CallerLimits) { s.callers.Store(&c) }
+// SetCallerLimits replaces the limits. Limits of connections apply to new connections only.
+func (s *Server) SetCallerLimits(limits CallerLimits) { s.limits.Store(&limits) }
 
 // WithTLS serves callers over TLS.
 func WithTLS(c *tls.Config) Option { return func(o *options) { o.tls = c } }
 
-// WithLogger sets where events are logged.
+// WithLogger sets the logger.
 func WithLogger(l *slog.Logger) Option { return func(o *options) { o.log = l } }
 
-// WithObserver sets who is told of outcomes.
-func WithObserver(ob Observer) Option { return func(o *options) { o.observer = ob } }
+// WithObserver sets the observer of outcomes.
+func WithObserver(observer Observer) Option { return func(o *options) { o.observer = observer } }
 
-// WithHeaders sets the headers that callers of routes speak.
-func WithHeaders(d HeaderConfig) Option { return func(o *options) { o.dialect = d } }
+// WithHeaders sets the header names of routed requests.
+func WithHeaders(headers HeaderConfig) Option { return func(o *options) { o.headers = headers } }
 
-// WithClock sets the clock by which deadlines are told.
+// WithClock sets the clock for deadlines.
 func WithClock(c *clock.Clock) Option { return func(o *options) { o.clock = c } }
 
-// WithRoutesOnly leaves out the interfaces that need no route.
+// WithRoutesOnly disables the built-in API.
 func WithRoutesOnly() Option { return func(o *options) { o.routesOnly = true } }
 
 type noObserver struct{}
 
 func (noObserver) RequestEnded(Outcome) {}
 
-// New returns a server for the router name, whose incarnation is inc.
+// New returns a server for the router with the given name and incarnation.
 func New(name string, inc uint64, s Scheduler, b Backend, opts ...Option) *Server {
 	srv := &Server{
 		opt: options{
-			callers: DefaultCallerLimits(), log: slog.Default(), observer: noObserver{}, dialect: DefaultHeaders(),
+			limits: DefaultCallerLimits(), log: slog.Default(), observer: noObserver{}, headers: DefaultHeaders(),
 			clock: clock.System(),
 		},
 		scheduler: s, backend: b, name: name,
-		idBase: name + "-" + strconv.FormatUint(inc, 36) + "-",
+		idPrefix: name + "-" + strconv.FormatUint(inc, 36) + "-",
 	}
 	for _, f := range opts {
 		f(&srv.opt)
 	}
-	srv.SetCallerLimits(srv.opt.callers)
+	srv.SetCallerLimits(srv.opt.limits)
 	return srv
 }
 
-// clock is that by which deadlines are told.
 func (s *Server) clock() *clock.Clock { return s.opt.clock }
 
-// protocols allows HTTP/1.1 and HTTP/2, the latter without TLS too.
+// protocols enables HTTP/1.1 and HTTP/2, with and without TLS.
 func protocols() *http.Protocols {
 	p := &http.Protocols{}
 	p.SetHTTP1(true)
@@ -213,55 +207,55 @@
 	return p
 }
 
-// handler serves the routes of the table first, then the own interfaces.
+// handler returns a handler that serves the table's routes first, then the built-in API.
 func (s *Server) handler() http.Handler {
-	own := http.HandlerFunc(s.notFound)
+	builtin := http.HandlerFunc(s.notFound)
 	if !s.opt.routesOnly {
-		own = s.ownInterfaces().ServeHTTP
+		builtin = s.builtinAPI().ServeHTTP
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.dropReserved(r)
+		s.dropReservedHeaders(r)
 		t := s.scheduler.Table()
 		if t == nil {
-			s.notReady(w, r)
+			s.noTable(w, r)
 			return
 		}
 		if route, ok := t.RouteFor(r.Host, pathOf(r)); ok {
-			s.routed(w, r, t, route)
+			s.serveRoute(w, r, t, route)
 			return
 		}
-		own(w, r)
+		builtin(w, r)
 	})
 }
 
-func (s *Server) ownInterfaces() http.Handler {
+func (s *Server) builtinAPI() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathCompletions, s.completions)
 	mux.HandleFunc("POST "+PathChat, s.completions)
 	mux.HandleFunc("GET "+PathModels, s.models)
-	mux.HandleFunc(PathServices+"{service}/{rest...}", s.service)
+	mux.HandleFunc(PathServices+"{service}/{rest...}", s.plainService)
 	mux.HandleFunc("/", s.notFound)
 	return mux
 }
 
-// DisableKeepAlives ends each kept connection with its next answer.
-func (s *Server) DisableKeepAlives() { s.leaving.Store(true) }
+// DisableKeepAlives makes every connection close after its next response.
+func (s *Server) DisableKeepAlives() { s.keepAlivesOff.Store(true) }
 
-// Drain refuses new requests as not run; those that wait or run go on.
+// Drain refuses new requests; waiting and running ones continue.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// OpenRequests returns how many requests are open.
-func (s *Server) OpenRequests() int64 { return s.open.Load() }
+// OpenRequests returns the number of open requests.
+func (s *Server) OpenRequests() int64 { return s.openRequests.Load() }
 
-// Requests returns how many requests came since the start.
+// Requests returns the number of requests since the start.
 func (s *Server) Requests() int64 { return s.requests.Load() }
 
-// Shutdown waits until every request has ended or ctx is done.
+// Shutdown drains the server and waits until all requests have ended or ctx is done.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Drain()
 	s.stopListening()
 	var errs []error
-	for _, g := range s.all() {
+	for _, g := range s.allGenerations() {
 		errs = append(errs, g.http.Shutdown(ctx))
 	}
 	errs = append(errs, s.waitEarly(ctx))
@@ -271,11 +265,12 @@
 	return nil
 }
 
-// waitEarly waits until no connection is handed on any more, or ctx is done.
+// waitEarly waits until no connection is in the early check or being forwarded, or ctx is
+// done.
 func (s *Server) waitEarly(ctx context.Context) error {
-	tick := time.NewTicker(earlyLook)
+	tick := time.NewTicker(earlyPollInterval)
 	defer tick.Stop()
-	for s.early.Load() > 0 {
+	for s.earlyConns.Load() > 0 {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -285,23 +280,23 @@
 	return nil
 }
 
-// earlyLook is how often waitEarly looks again.
-const earlyLook = 5 * time.Millisecond
+// earlyPollInterval is the poll interval of waitEarly.
+const earlyPollInterval = 5 * time.Millisecond
 
-// Close cuts every connection.
+// Close closes the listener and all connections.
 func (s *Server) Close() error {
 	s.stopListening()
 	var errs []error
-	for _, g := range s.all() {
+	for _, g := range s.allGenerations() {
 		errs = append(errs, g.http.Close())
 	}
 	return errors.Join(errs...)
 }
 
-func (s *Server) httpLog() *log.Logger {
+func (s *Server) httpLogger() *log.Logger {
 	return slog.NewLogLogger(s.opt.log.Handler(), slog.LevelDebug)
 }
 
-func (s *Server) requestID() string {
-	return s.idBase + strconv.FormatUint(s.nextID.Add(1), 10)
+func (s *Server) newRequestID() string {
+	return s.idPrefix + strconv.FormatUint(s.nextID.Add(1), 10)
 }
--- a/pkg/verdict/verdict.go
+++ b/pkg/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict states, for every request that failed, whether a backend
-// server may have run it. Callers and the retry policy act on this alone.
+// Package verdict classifies failed requests by whether a backend server may have run them.
+// The retry policy and the callers rely on this verdict.
 package verdict
 
 import (
@@ -11,22 +11,21 @@
 // Verdict says whether a request may have run on a backend server.
 type Verdict uint8
 
-// The verdicts. The zero value is MayHaveRun, so a forgotten verdict errs on
-// the side that never promises too much.
+// The verdicts. The zero value is MayHaveRun, so that an unset verdict is the cautious one.
 const (
-	// MayHaveRun is given whenever any doubt is left.
+	// MayHaveRun means that it is unknown whether the request ran.
 	MayHaveRun Verdict = iota
-	// NotRun is given only when it is provable: no byte of the request was
-	// handed to the network, or the backend server itself said so.
+	// NotRun means that the request certainly did not run: no byte of it was sent, or the
+	// backend server reported that it did not run it.
 	NotRun
-	// Ran is given when the backend server answered the request.
+	// Ran means that the backend server answered the request.
 	Ran
 )
 
-// Header is the HTTP response header that carries the verdict to a caller.
+// Header is the HTTP response header that carries the verdict.
 const Header = "Yarrowmast-Verdict"
 
-// String returns the verdict as it stands in headers, logs and reports.
+// String returns the verdict as written in headers, logs and reports.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -38,10 +37,10 @@
 	}
 }
 
-// Phase names the step of a request in which a failure fell.
+// Phase is the step of a request at which a failure occurred.
 type Phase string
 
-// The phases of a request, in the order in which they are passed.
+// The phases of a request, in order.
 const (
 	PhaseAdmit  Phase = "admit"
 	PhaseQueue  Phase = "queue"
@@ -52,8 +51,8 @@
 	PhaseDone   Phase = "done"
 )
 
-// Verdict returns the verdict that the phase alone allows: only failures before
-// the first byte is sent are provably not run.
+// Verdict returns the verdict implied by the phase alone: a request that failed before its
+// first byte was sent did not run.
 func (p Phase) Verdict() Verdict {
 	switch p {
 	case PhaseAdmit, PhaseQueue, PhaseDial:
@@ -65,44 +64,44 @@
 	}
 }
 
-// Error is a request's failure together with its verdict.
+// Error is a failed request with its verdict.
 type Error struct {
-	// Verdict is never stronger than what is provable at Phase.
+	// Verdict is NotRun or Ran only if that is certain.
 	Verdict Verdict
-	// Phase is the step in which the failure fell.
+	// Phase is the step at which the request failed.
 	Phase Phase
-	// Status is the HTTP status a caller is answered with.
+	// Status is the HTTP status of the response to the caller.
 	Status int
-	// Code is a short stable name of the cause, for metrics and callers.
+	// Code is a short stable identifier of the cause, used in metrics and responses.
 	Code string
-	// Detail is one sentence for people: what happened and what to do.
+	// Detail is one sentence for people that says what happened and what to do.
 	Detail string
-	// RetryAfter is when the caller may come back; 0 means not stated.
+	// RetryAfter is the delay after which the caller may retry; 0 means unspecified.
 	RetryAfter time.Duration
 	// Err is the underlying cause, if any.
 	Err error
 }
 
-// New returns an error whose verdict is the one its phase allows.
+// New returns an error with the verdict implied by its phase.
 func New(phase Phase, status int, code, detail string) *Error {
 	return &Error{Verdict: phase.Verdict(), Phase: phase, Status: status, Code: code, Detail: detail}
 }
 
-// Wrap returns a copy of e that carries the cause err.
+// Wrap returns a copy of e with err as its cause.
 func (e *Error) Wrap(err error) *Error {
 	c := *e
 	c.Err = err
 	return &c
 }
 
-// WithRetryAfter returns a copy of e that tells the caller when to come back.
+// WithRetryAfter returns a copy of e with the given retry delay.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// Error implements error on one line.
+// Error implements error.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("%s (%s, %s): %s", e.Code, e.Phase, e.Verdict, e.Detail)
@@ -113,7 +112,7 @@
 // Unwrap returns the underlying cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// From returns the verdict of err. An error without one leaves doubt.
+// From returns the verdict of err, or MayHaveRun if it carries none.
 func From(err error) Verdict {
 	var e *Error
 	if errors.As(err, &e) {
@@ -122,8 +121,8 @@
 	return MayHaveRun
 }
 
-// MayRetry reports whether another attempt is safe: a request not to be
-// repeated is sent again only when it provably did not run.
+// MayRetry reports whether a request with verdict v may be sent again. A request that is not
+// repeatable is retried only if it did not run.
 func MayRetry(v Verdict, repeatable bool) bool {
 	switch v {
 	case NotRun:
