--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -20,48 +20,48 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// generous bounds waits for things that must happen; none proves anything by passing.
-const generous = 10 * time.Second
+// waitTimeout bounds waits for events that must happen.
+const waitTimeout = 10 * time.Second
 
-// network carries messages between forwarders in order, each pair's by a task of its own.
+// network delivers messages between forwarders, in order for each pair.
 type network struct {
-	mu    sync.Mutex
-	at    map[string]*forward.Forwarder
-	links map[string]chan peer.Inbound
-	// drop says which messages are lost.
+	mu      sync.Mutex
+	routers map[string]*forward.Forwarder
+	links   map[string]chan peer.Inbound
+	// drop selects messages to lose.
 	drop func(to string, msg any) bool
 	done chan struct{}
-	wait sync.WaitGroup
+	wg   sync.WaitGroup
 }
 
-// sender is one router's end of the network.
+// sender sends one router's messages over the network.
 type sender struct {
-	n    *network
-	from string
+	network *network
+	from    string
 }
 
 func (s sender) Send(to string, msg any) {
-	s.n.mu.Lock()
-	defer s.n.mu.Unlock()
-	if s.n.drop != nil && s.n.drop(to, msg) {
+	s.network.mu.Lock()
+	defer s.network.mu.Unlock()
+	if s.network.drop != nil && s.network.drop(to, msg) {
 		return
 	}
 	key := s.from + " " + to
-	link, ok := s.n.links[key]
+	link, ok := s.network.links[key]
 	if !ok {
 		link = make(chan peer.Inbound, 4096)
-		s.n.links[key] = link
-		target := s.n.at[to]
-		s.n.wait.Add(1)
+		s.network.links[key] = link
+		target := s.network.routers[to]
+		s.network.wg.Add(1)
 		go func() {
-			defer s.n.wait.Done()
+			defer s.network.wg.Done()
 			for {
 				select {
 				case in := <-link:
 					if target != nil {
 						target.Handle(in)
 					}
-				case <-s.n.done:
+				case <-s.network.done:
 					return
 				}
 			}
@@ -70,17 +70,17 @@
 	link <- peer.Inbound{From: s.from, Inc: 1, Msg: msg}
 }
 
-// server is the front of a router that takes connections.
+// server is the Server of one router.
 type server struct {
-	http  *http.Server
-	conns chan net.Conn
-	takes bool
-	once  sync.Once
-	mu    sync.Mutex
-	ran   []string
+	http    *http.Server
+	conns   chan net.Conn
+	accepts bool
+	once    sync.Once
+	mu      sync.Mutex
+	paths   []string
 }
 
-func (s *server) AcceptsForwarded(table.Version) bool { return s.takes }
+func (s *server) AcceptsForwarded(table.Version) bool { return s.accepts }
 func (s *server) ServeForwarded(c net.Conn)           { s.conns <- c }
 func (s *server) Accept() (net.Conn, error) {
 	c, ok := <-s.conns
@@ -95,97 +95,97 @@
 }
 func (s *server) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (s *server) runs() []string {
+func (s *server) requestPaths() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.ran...)
+	return append([]string(nil), s.paths...)
 }
 
-// world is three routers, of which the first hands on.
-type world struct {
+// cluster consists of three routers. The first forwards to the other two.
+type cluster struct {
 	t       *testing.T
-	net     *network
-	first   *forward.Forwarder
+	network *network
+	entry   *forward.Forwarder
 	servers map[string]*server
 }
 
-func newWorld(t *testing.T, handler http.HandlerFunc) *world {
+func newCluster(t *testing.T, handler http.HandlerFunc) *cluster {
 	t.Helper()
-	w := &world{t: t, servers: map[string]*server{}}
-	w.net = &network{at: map[string]*forward.Forwarder{}, links: map[string]chan peer.Inbound{}, done: make(chan struct{})}
+	cl := &cluster{t: t, servers: map[string]*server{}}
+	cl.network = &network{routers: map[string]*forward.Forwarder{}, links: map[string]chan peer.Inbound{}, done: make(chan struct{})}
 	for _, name := range []string{"a", "b", "c"} {
 		f := forward.New()
-		srv := &server{conns: make(chan net.Conn), takes: true}
+		srv := &server{conns: make(chan net.Conn), accepts: true}
 		srv.http = &http.Server{Handler: http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 			srv.mu.Lock()
-			srv.ran = append(srv.ran, r.URL.Path)
+			srv.paths = append(srv.paths, r.URL.Path)
 			srv.mu.Unlock()
 			out.Header().Set("Connection", "close")
 			handler(out, r)
-		}), ReadHeaderTimeout: generous}
+		}), ReadHeaderTimeout: waitTimeout}
 		go func() { _ = srv.http.Serve(srv) }()
-		f.Bind(sender{w.net, name}, srv)
-		w.net.at[name], w.servers[name] = f, srv
+		f.Bind(sender{cl.network, name}, srv)
+		cl.network.routers[name], cl.servers[name] = f, srv
 		if name == "a" {
-			w.first = f
+			cl.entry = f
 		}
 	}
-	w.first.SetPeers([]forward.Peer{{Address: "b", Capacity: 1}, {Address: "c", Capacity: 1}})
+	cl.entry.SetPeers([]forward.Peer{{Address: "b", Capacity: 1}, {Address: "c", Capacity: 1}})
 	t.Cleanup(func() {
-		for _, f := range w.net.at {
+		for _, f := range cl.network.routers {
 			f.Close()
 		}
-		for _, s := range w.servers {
+		for _, s := range cl.servers {
 			_ = s.http.Close()
 		}
-		close(w.net.done)
-		w.net.wait.Wait()
+		close(cl.network.done)
+		cl.network.wg.Wait()
 	})
-	return w
+	return cl
 }
 
-// call has a caller send a request by the first router, its body in pieces, and returns
-// what became of it and the connection's other end.
-func (w *world) call(first string, until time.Duration) (caller net.Conn, became chan forward.Result) {
-	w.t.Helper()
+// call opens a connection with the given bytes already read and forwards it from the entry
+// router. It returns the caller's end and a channel for the result.
+func (cl *cluster) forward(head string, timeout time.Duration) (caller net.Conn, results chan forward.Result) {
+	cl.t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
 	caller, err = net.Dial("tcp", ln.Addr().String())
 	if err != nil {
-		w.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = caller.Close() })
+	cl.t.Cleanup(func() { _ = caller.Close() })
 	c, err := ln.Accept()
 	if err != nil {
-		w.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
-	became = make(chan forward.Result, 1)
+	results = make(chan forward.Result, 1)
 	go func() {
-		did := w.first.Forward(c, []byte(first), table.Version{Revision: 1}, time.Now().Add(until))
-		if did.Outcome != forward.Ended {
+		result := cl.entry.Forward(c, []byte(head), table.Version{Revision: 1}, time.Now().Add(timeout))
+		if result.Outcome != forward.Ended {
 			_ = c.Close()
 		}
-		became <- did
+		results <- result
 	}()
-	_ = caller.SetDeadline(time.Now().Add(generous))
-	return caller, became
+	_ = caller.SetDeadline(time.Now().Add(waitTimeout))
+	return caller, results
 }
 
-func (w *world) became(ch chan forward.Result) forward.Result {
-	w.t.Helper()
+func (cl *cluster) waitResult(results chan forward.Result) forward.Result {
+	cl.t.Helper()
 	select {
-	case did := <-ch:
-		return did
-	case <-time.After(generous):
-		w.t.Fatal("the stream does not end")
+	case result := <-results:
+		return result
+	case <-time.After(waitTimeout):
+		cl.t.Fatal("the stream did not end")
 		return forward.Result{}
 	}
 }
 
-func post(path string, length int) string {
+func postHead(path string, length int) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", path, length)
 }
 
@@ -197,28 +197,30 @@
 	_, _ = out.Write(body)
 }
 
-// runs counts the requests that the others ran.
-func (w *world) runs() int { return len(w.servers["b"].runs()) + len(w.servers["c"].runs()) }
+// requestCount returns the number of requests that reached the peers' handlers.
+func (cl *cluster) requestCount() int {
+	return len(cl.servers["b"].requestPaths()) + len(cl.servers["c"].requestPaths())
+}
 
 func TestForward(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	tests := map[string]func(t *testing.T){
 		"a whole request": func(t *testing.T) {
-			w := newWorld(t, echo)
-			caller, became := w.call(post("/x", 4)+"body", generous)
+			cl := newCluster(t, echo)
+			caller, results := cl.forward(postHead("/x", 4)+"body", waitTimeout)
 			resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			body, err := io.ReadAll(resp.Body)
-			if err != nil || string(body) != "body" || w.became(became).Outcome != forward.Ended || w.runs() != 1 {
-				t.Errorf("%q, %v, run %d times", body, err, w.runs())
+			if err != nil || string(body) != "body" || cl.waitResult(results).Outcome != forward.Ended || cl.requestCount() != 1 {
+				t.Errorf("%q, %v, ran %d times", body, err, cl.requestCount())
 			}
 		},
-		"a body in many pieces": func(t *testing.T) {
-			w := newWorld(t, echo)
+		"a body in many writes": func(t *testing.T) {
+			cl := newCluster(t, echo)
 			want := bytes.Repeat([]byte("0123456789"), 20_000)
-			caller, became := w.call(post("/x", len(want)), generous)
+			caller, results := cl.forward(postHead("/x", len(want)), waitTimeout)
 			go func() {
 				for i := 0; i < len(want); i += 7001 {
 					_, _ = caller.Write(want[i:min(i+7001, len(want))])
@@ -230,162 +232,162 @@
 				t.Fatal(err)
 			}
 			body, err := io.ReadAll(resp.Body)
-			if err != nil || !bytes.Equal(body, want) || w.became(became).Outcome != forward.Ended {
+			if err != nil || !bytes.Equal(body, want) || cl.waitResult(results).Outcome != forward.Ended {
 				t.Errorf("%d of %d bytes, %v", len(body), len(want), err)
 			}
 		},
-		"an answer in many pieces": func(t *testing.T) {
-			w := newWorld(t, func(out http.ResponseWriter, r *http.Request) {
+		"a response in many writes": func(t *testing.T) {
+			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) {
 				for i := range 200 {
 					_, _ = fmt.Fprintf(out, "event %d\n", i)
 					_ = http.NewResponseController(out).Flush()
 				}
 			})
-			caller, became := w.call(post("/x", 0), generous)
+			caller, results := cl.forward(postHead("/x", 0), waitTimeout)
 			resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			body, err := io.ReadAll(resp.Body)
-			if err != nil || strings.Count(string(body), "event") != 200 || w.became(became).Outcome != forward.Ended {
+			if err != nil || strings.Count(string(body), "event") != 200 || cl.waitResult(results).Outcome != forward.Ended {
 				t.Errorf("%q, %v", body, err)
 			}
 		},
 		"a caller that reads slowly": func(t *testing.T) {
 			piece := bytes.Repeat([]byte("x"), 64<<10)
-			w := newWorld(t, func(out http.ResponseWriter, r *http.Request) {
+			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) {
 				for range 300 {
 					_, _ = out.Write(piece)
 				}
 			})
-			caller, became := w.call(post("/x", 0), generous)
+			caller, results := cl.forward(postHead("/x", 0), waitTimeout)
 			time.Sleep(300 * time.Millisecond)
 			resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			body, err := io.ReadAll(resp.Body)
-			if err != nil || len(body) != 300*len(piece) || w.became(became).Outcome != forward.Ended {
+			if err != nil || len(body) != 300*len(piece) || cl.waitResult(results).Outcome != forward.Ended {
 				t.Errorf("%d bytes, %v", len(body), err)
 			}
 		},
-		"the first has no time": func(t *testing.T) {
-			w := newWorld(t, echo)
-			w.servers["b"].takes = false
-			caller, became := w.call(post("/x", 4)+"body", generous)
+		"the first peer refuses": func(t *testing.T) {
+			cl := newCluster(t, echo)
+			cl.servers["b"].accepts = false
+			caller, results := cl.forward(postHead("/x", 4)+"body", waitTimeout)
 			resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
-			if err != nil || resp.StatusCode != 200 || w.became(became).To != "c" {
+			if err != nil || resp.StatusCode != 200 || cl.waitResult(results).To != "c" {
 				t.Errorf("%+v, %v", resp, err)
 			}
 		},
-		"nobody has time": func(t *testing.T) {
-			w := newWorld(t, echo)
-			w.servers["b"].takes, w.servers["c"].takes = false, false
-			caller, became := w.call(post("/x", 8)+"body", generous)
+		"all peers refuse": func(t *testing.T) {
+			cl := newCluster(t, echo)
+			cl.servers["b"].accepts, cl.servers["c"].accepts = false, false
+			caller, results := cl.forward(postHead("/x", 8)+"body", waitTimeout)
 			_, _ = caller.Write([]byte("more"))
-			did := w.became(became)
-			if did.Outcome != forward.NotTaken || !strings.HasPrefix(string(did.Read), post("/x", 8)+"body") || w.runs() != 0 {
-				t.Errorf("%+v, run %d times", did, w.runs())
+			result := cl.waitResult(results)
+			if result.Outcome != forward.NotTaken || !strings.HasPrefix(string(result.Read), postHead("/x", 8)+"body") || cl.requestCount() != 0 {
+				t.Errorf("%+v, ran %d times", result, cl.requestCount())
 			}
-			if _, became := w.call(post("/x", 0), generous); w.became(became).To != "" {
-				t.Error("a router that has no time is asked again at once")
+			if _, results := cl.forward(postHead("/x", 0), waitTimeout); cl.waitResult(results).To != "" {
+				t.Error("a peer that refused is tried again at once")
 			}
 		},
-		"nobody is there": func(t *testing.T) {
-			w := newWorld(t, echo)
-			w.first.SetPeers(nil)
-			_, became := w.call(post("/x", 0), generous)
-			if did := w.became(became); did.Outcome != forward.NotTaken || did.To != "" {
-				t.Errorf("%+v", did)
+		"no peers": func(t *testing.T) {
+			cl := newCluster(t, echo)
+			cl.entry.SetPeers(nil)
+			_, results := cl.forward(postHead("/x", 0), waitTimeout)
+			if result := cl.waitResult(results); result.Outcome != forward.NotTaken || result.To != "" {
+				t.Errorf("%+v", result)
 			}
 		},
-		"it is lost before it answers": func(t *testing.T) {
+		"peer lost before the response": func(t *testing.T) {
 			started := make(chan struct{})
-			w := newWorld(t, func(out http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done() })
-			_, became := w.call(post("/x", 0), generous)
+			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done() })
+			_, results := cl.forward(postHead("/x", 0), waitTimeout)
 			<-started
-			w.first.EndStreams("b")
-			w.first.EndStreams("c")
-			if did := w.became(became); did.Outcome != forward.Unknown || w.runs() != 1 {
-				t.Errorf("%+v, run %d times", did, w.runs())
+			cl.entry.EndStreams("b")
+			cl.entry.EndStreams("c")
+			if result := cl.waitResult(results); result.Outcome != forward.Unknown || cl.requestCount() != 1 {
+				t.Errorf("%+v, ran %d times", result, cl.requestCount())
 			}
 		},
-		"it is lost amid its answer": func(t *testing.T) {
-			w := newWorld(t, func(out http.ResponseWriter, r *http.Request) {
+		"peer lost during the response": func(t *testing.T) {
+			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) {
 				_, _ = fmt.Fprint(out, "event")
 				_ = http.NewResponseController(out).Flush()
 				<-r.Context().Done()
 			})
-			caller, became := w.call(post("/x", 0), generous)
+			caller, results := cl.forward(postHead("/x", 0), waitTimeout)
 			resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.first.EndStreamsExcept(map[string]bool{})
+			cl.entry.EndStreamsExcept(map[string]bool{})
 			if _, err := io.ReadAll(resp.Body); err == nil {
-				t.Error("an answer that was cut off looks whole")
+				t.Error("a truncated response was read without an error")
 			}
-			if did := w.became(became); did.Outcome != forward.Ended {
-				t.Errorf("%+v", did)
+			if result := cl.waitResult(results); result.Outcome != forward.Ended {
+				t.Errorf("%+v", result)
 			}
 		},
-		"a piece of the answer is lost": func(t *testing.T) {
-			w := newWorld(t, func(out http.ResponseWriter, r *http.Request) {
+		"a response message is lost": func(t *testing.T) {
+			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) {
 				for range 5 {
 					_, _ = fmt.Fprint(out, "event")
 					_ = http.NewResponseController(out).Flush()
 				}
 			})
-			w.net.drop = func(_ string, msg any) bool {
+			cl.network.drop = func(_ string, msg any) bool {
 				m, ok := msg.(*wire.ForwardData)
 				return ok && m.Answer && m.Number == 3
 			}
-			caller, became := w.call(post("/x", 0), generous)
+			caller, results := cl.forward(postHead("/x", 0), waitTimeout)
 			resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if _, err := io.ReadAll(resp.Body); err == nil {
-				t.Error("an answer that lacks a piece looks whole")
+				t.Error("a response with a missing message was read without an error")
 			}
-			w.became(became)
+			cl.waitResult(results)
 		},
-		"the caller leaves": func(t *testing.T) {
+		"the caller disconnects": func(t *testing.T) {
 			left := make(chan struct{})
 			started := make(chan struct{})
-			w := newWorld(t, func(out http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done(); close(left) })
-			caller, became := w.call(post("/x", 0), generous)
+			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done(); close(left) })
+			caller, results := cl.forward(postHead("/x", 0), waitTimeout)
 			<-started
 			_ = caller.Close()
 			select {
 			case <-left:
-			case <-time.After(generous):
-				t.Error("the router that works on the request does not hear of it")
+			case <-time.After(waitTimeout):
+				t.Error("the peer's request was not canceled")
 			}
-			if did := w.became(became); did.Outcome != forward.Ended {
-				t.Errorf("%+v", did)
+			if result := cl.waitResult(results); result.Outcome != forward.Ended {
+				t.Errorf("%+v", result)
 			}
 		},
-		"the time is up": func(t *testing.T) {
-			w := newWorld(t, func(out http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-			_, became := w.call(post("/x", 0), 50*time.Millisecond)
-			if did := w.became(became); did.Outcome != forward.Unknown {
-				t.Errorf("%+v", did)
+		"the deadline passes": func(t *testing.T) {
+			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+			_, results := cl.forward(postHead("/x", 0), 50*time.Millisecond)
+			if result := cl.waitResult(results); result.Outcome != forward.Unknown {
+				t.Errorf("%+v", result)
 			}
 		},
-		"the router that took the connection is lost": func(t *testing.T) {
+		"the forwarding router is lost": func(t *testing.T) {
 			left, started := make(chan struct{}), make(chan struct{})
-			w := newWorld(t, func(out http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done(); close(left) })
-			_, became := w.call(post("/x", 0), time.Second)
+			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done(); close(left) })
+			_, results := cl.forward(postHead("/x", 0), time.Second)
 			<-started
-			w.net.at["b"].EndStreams("a")
-			w.net.at["c"].EndStreams("a")
+			cl.network.routers["b"].EndStreams("a")
+			cl.network.routers["c"].EndStreams("a")
 			select {
 			case <-left:
-			case <-time.After(generous):
-				t.Error("its request goes on")
+			case <-time.After(waitTimeout):
+				t.Error("the peer's request was not canceled")
 			}
-			w.became(became)
+			cl.waitResult(results)
 		},
 	}
 	for name, test := range tests {
@@ -393,17 +395,18 @@
 	}
 }
 
-// TestManyStreams hands on many connections at once, each of which gets its own answer.
+// TestManyStreams guards against mixing up streams: many forwarded connections must each get
+// their own response.
 func TestManyStreams(t *testing.T) {
-	w := newWorld(t, echo)
+	cl := newCluster(t, echo)
 	const streams = 200
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range streams {
 		body := fmt.Sprint("body ", i)
-		caller, _ := w.call(post("/x", len(body))+body, generous)
-		all.Add(1)
+		caller, _ := cl.forward(postHead("/x", len(body))+body, waitTimeout)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
 			if err != nil {
 				t.Error(err)
@@ -414,8 +417,8 @@
 			}
 		}()
 	}
-	all.Wait()
-	if w.runs() != streams {
-		t.Errorf("%d requests were run", w.runs())
+	wg.Wait()
+	if cl.requestCount() != streams {
+		t.Errorf("%d requests ran", cl.requestCount())
 	}
 }
--- a/internal/front/connections_test.go
+++ b/internal/front/connections_test.go
@@ -17,21 +17,21 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// answerWithin bounds the wait for an answer in these tests: without it a
-// router that leaves a connection unread would hang them.
-const answerWithin = 5 * time.Second
+// responseTimeout bounds the wait for a response, so that an unserved connection fails the
+// test.
+const responseTimeout = 5 * time.Second
 
-// bounded returns what callers may do with so many connections.
-func bounded(connections int) front.Option {
+// withMaxConnections limits the number of connections.
+func withMaxConnections(limit int) front.Option {
 	c := front.DefaultCallerLimits()
-	c.MaxConnections = connections
+	c.MaxConnections = limit
 	return front.WithCallerLimits(c)
 }
 
-// caller is one connection that a test keeps open.
+// caller is a client connection that a test keeps open.
 type caller struct {
 	net.Conn
-	answers *bufio.Reader
+	reader *bufio.Reader
 }
 
 func dial(t *testing.T, url string) *caller {
@@ -41,14 +41,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return &caller{Conn: conn, answers: bufio.NewReader(conn)}
+	return &caller{Conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// send sends the whole of a request, or only its head with body false.
-func (c *caller) send(t *testing.T, body bool) {
+// send sends a complete request, or only its head.
+func (c *caller) send(t *testing.T, withBody bool) {
 	t.Helper()
 	text := "POST /services/scores/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\nContent-Length: 2\r\n\r\n"
-	if body {
+	if withBody {
 		text += "{}"
 	}
 	if _, err := io.WriteString(c, text); err != nil {
@@ -56,14 +56,14 @@
 	}
 }
 
-func (c *caller) answer(t *testing.T) *http.Response {
+func (c *caller) readResponse(t *testing.T) *http.Response {
 	t.Helper()
-	if err := c.SetReadDeadline(time.Now().Add(answerWithin)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(responseTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.ReadResponse(c.answers, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		t.Fatal(err)
@@ -71,37 +71,37 @@
 	return resp
 }
 
-// end waits for the end of a connection, by when the server counts it no more.
-func (c *caller) end(t *testing.T) {
+// waitClosed waits until the server has closed and stopped counting the connection.
+func (c *caller) waitClosed(t *testing.T) {
 	t.Helper()
-	if err := c.SetReadDeadline(time.Now().Add(answerWithin)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(responseTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.answers.ReadByte(); err != io.EOF {
-		t.Errorf("the connection reads %v, want its end", err)
+	if _, err := c.reader.ReadByte(); err != io.EOF {
+		t.Errorf("reading the connection: %v, want EOF", err)
 	}
 }
 
-// waitFor waits until a condition holds that other goroutines bring about.
-func waitFor(t testing.TB, what string, holds func() bool) {
+// waitFor polls until condition holds.
+func waitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(answerWithin); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(responseTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// TestIdleConnectionsKeepNobodyWaiting has more callers than there may be
-// connections ask once each and leave their connections open.
+// TestIdleConnectionsKeepNobodyWaiting guards against idle connections using up the limit:
+// more callers than the limit send one request each and keep their connections open.
 func TestIdleConnectionsKeepNobodyWaiting(t *testing.T) {
-	const most, callers = 8, 50
-	url := start(t, &fake{t: newTable(t), results: []backend.Result{{}}}, bounded(most))
+	const limit, callers = 8, 50
+	url := start(t, &fake{table: newTable(t), results: []backend.Result{{}}}, withMaxConnections(limit))
 	kept := 0
 	for range callers {
 		c := dial(t, url)
 		c.send(t, true)
-		resp := c.answer(t)
+		resp := c.readResponse(t)
 		if resp.StatusCode != http.StatusOK {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
@@ -109,91 +109,90 @@
 			kept++
 			continue
 		}
-		c.end(t)
+		c.waitClosed(t)
 	}
 	if kept == 0 {
-		t.Error("no connection is kept, though half of the bound was free")
+		t.Error("no connection was kept open, though half of the limit was free")
 	}
 }
 
-// TestOldestIdleConnectionMakesRoom fills the bound with connections that are
-// kept while there is room, and looks which one ends for a newcomer.
-func TestOldestIdleConnectionMakesRoom(t *testing.T) {
-	const most = 4
-	f := &fake{t: newTable(t), results: []backend.Result{{}}}
-	url, server := startServer(t, f, bounded(most))
+// TestOldestIdleConnectionIsEvicted checks that, at the limit, a new connection replaces the
+// one idle the longest and that requests in progress continue.
+func TestOldestIdleConnectionIsEvicted(t *testing.T) {
+	const limit = 4
+	f := &fake{table: newTable(t), results: []backend.Result{{}}}
+	url, server := startServer(t, f, withMaxConnections(limit))
 	oldest := dial(t, url)
 	oldest.send(t, true)
-	oldest.answer(t)
+	oldest.readResponse(t)
 	waitFor(t, "the connection to be idle", func() bool { return server.Connections().Idle == 1 })
-	var waiting []*caller
-	for range most - 1 {
+	var active []*caller
+	for range limit - 1 {
 		c := dial(t, url)
 		c.send(t, false)
-		waiting = append(waiting, c)
+		active = append(active, c)
 	}
-	newcomer := dial(t, url)
-	newcomer.send(t, true)
-	if got := newcomer.answer(t).StatusCode; got != http.StatusOK {
-		t.Errorf("the newcomer got %d", got)
+	extra := dial(t, url)
+	extra.send(t, true)
+	if got := extra.readResponse(t).StatusCode; got != http.StatusOK {
+		t.Errorf("the extra connection got status %d", got)
 	}
-	oldest.end(t)
-	for _, c := range waiting {
+	oldest.waitClosed(t)
+	for _, c := range active {
 		if _, err := io.WriteString(c, "{}"); err != nil {
 			t.Fatal(err)
 		}
-		if got := c.answer(t).StatusCode; got != http.StatusOK {
-			t.Errorf("a request that was under way got %d", got)
+		if got := c.readResponse(t).StatusCode; got != http.StatusOK {
+			t.Errorf("a request in progress got status %d", got)
 		}
 	}
 }
 
-// TestNewcomerBeyondTheBoundIsRefused looks that a newcomer is told to come back
-// where every connection has a request, and that this does not go on.
-func TestNewcomerBeyondTheBoundIsRefused(t *testing.T) {
-	const most = 3
-	f := &fake{t: newTable(t), results: []backend.Result{{}}}
-	url, server := startServer(t, f, bounded(most))
-	var busy []*caller
-	for range most {
+// TestConnectionOverLimitIsRefused checks that a connection over the limit is refused while
+// all others have requests, and accepted again afterwards.
+func TestConnectionOverLimitIsRefused(t *testing.T) {
+	const limit = 3
+	f := &fake{table: newTable(t), results: []backend.Result{{}}}
+	url, server := startServer(t, f, withMaxConnections(limit))
+	var active []*caller
+	for range limit {
 		c := dial(t, url)
 		c.send(t, false)
-		busy = append(busy, c)
+		active = append(active, c)
 	}
-	newcomer := dial(t, url)
-	newcomer.send(t, true)
-	resp := newcomer.answer(t)
+	extra := dial(t, url)
+	extra.send(t, true)
+	resp := extra.readResponse(t)
 	if got := server.Connections().Refused; got != 1 {
 		t.Errorf("%d connections counted as refused, want 1", got)
 	}
 	if !server.ConnectionsFull() {
-		t.Error("a router that refuses connections says that it is ready")
+		t.Error("ConnectionsFull is false after a refused connection")
 	}
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" || !resp.Close {
-		t.Errorf("status %d, Retry-After %q, the connection ends: %v", resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close)
+		t.Errorf("status %d, Retry-After %q, connection closes: %v", resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close)
 	}
 	if got := f.attempts.Load(); got != 0 {
-		t.Errorf("%d attempts for a refused request", got)
+		t.Errorf("%d attempts of a refused request", got)
 	}
-	for _, c := range busy {
+	for _, c := range active {
 		if _, err := fmt.Fprint(c, "{}"); err != nil {
 			t.Fatal(err)
 		}
-		c.answer(t)
+		c.readResponse(t)
 	}
-	waitFor(t, "room", func() bool { return server.Connections().Open < most })
+	waitFor(t, "a free connection", func() bool { return server.Connections().Open < limit })
 	later := dial(t, url)
 	later.send(t, true)
-	if got := later.answer(t).StatusCode; got != http.StatusOK {
-		t.Errorf("after the others were answered a newcomer got %d", got)
+	if got := later.readResponse(t).StatusCode; got != http.StatusOK {
+		t.Errorf("a connection below the limit got status %d", got)
 	}
 }
 
-// BenchmarkConnectionMemory reports what a caller's connection takes at the
-// router, and at the caller's end, which is in the same process, by heap and
-// stacks: idle, and with a request whose body of 12 kB has come in part.
+// BenchmarkConnectionMemory reports heap and stack memory per connection, of the server and
+// the client together: for idle connections and for requests with a partial body.
 func BenchmarkConnectionMemory(b *testing.B) {
-	const many = 1000
+	const connections = 1000
 	head := "POST /services/scores/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\nContent-Length: %d\r\n\r\n"
 	for name, text := range map[string]string{
 		"idle":   fmt.Sprintf(head, 2) + "{}",
@@ -201,9 +200,9 @@
 	} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				url, server := startServer(b, &fake{t: newTable(b), results: []backend.Result{{}}})
-				before := inUse()
-				for range many {
+				url, server := startServer(b, &fake{table: newTable(b), results: []backend.Result{{}}})
+				before := memoryInUse()
+				for range connections {
 					conn, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 					if err != nil {
 						b.Fatal(err)
@@ -215,27 +214,27 @@
 				}
 				waitFor(b, "the requests", func() bool {
 					c := server.Connections()
-					return c.Open == many && (name == "active" && server.OpenRequests() == many || c.Idle == many)
+					return c.Open == connections && (name == "active" && server.OpenRequests() == connections || c.Idle == connections)
 				})
-				b.ReportMetric(float64(inUse()-before)/many, "B/connection")
+				b.ReportMetric(float64(memoryInUse()-before)/connections, "B/connection")
 			}
 		})
 	}
 }
 
-// inUse returns what heap and stacks take, in bytes.
-func inUse() uint64 {
+// memoryInUse returns the size of heap and stacks in bytes.
+func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc + m.StackInuse
 }
 
-// BenchmarkRefusal has callers with a connection each be refused unseen.
+// BenchmarkRefusal measures refusals by the HTTP server, one connection for each.
 func BenchmarkRefusal(b *testing.B) {
-	f := &fake{t: newTable(b), results: []backend.Result{{}}, screened: verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "over-share", "made up")}
-	f.t.Routes = []table.Route{{Name: "r", Host: "forms.example", Prefix: "/a/", Public: true, Targets: []table.Target{{Service: "scores", Weight: 1}}}}
-	f.t.Index()
+	f := &fake{table: newTable(b), results: []backend.Result{{}}, refusal: verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "over-share", "made up")}
+	f.table.Routes = []table.Route{{Name: "r", Host: "forms.example", Prefix: "/a/", Public: true, Targets: []table.Target{{Service: "scores", Weight: 1}}}}
+	f.table.Index()
 	url := start(b, f)
 	text := "POST /a/x HTTP/1.1\r\nHost: forms.example\r\n" + backend.HeaderRequestID + ": id-1\r\nContent-Length: 12000\r\n\r\n" + strings.Repeat("x", 12000)
 	buf := make([]byte, 4096)
--- a/internal/front/refuse_bench_test.go
+++ b/internal/front/early_bench_test.go
@@ -20,23 +20,21 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// BenchmarkRefusedUnseen has a caller open a connection for each request, which the
-// scheduler refuses before its body is read, with the log and the metrics of a router.
-// Caller and router share the process: a profile tells them apart. A router that is short
-// of time refuses before its HTTP server has the connection.
-func BenchmarkRefusedUnseen(b *testing.B) {
-	for name, hurried := range map[string]bool{"InTime": false, "Hurried": true} {
-		b.Run(name, func(b *testing.B) { benchRefused(b, hurried) })
+// BenchmarkEarlyRefusal measures refusals before the body is read, one connection for each,
+// with log and metrics. Client and server share the process.
+func BenchmarkEarlyRefusal(b *testing.B) {
+	for name, shedding := range map[string]bool{"HTTPServer": false, "Early": true} {
+		b.Run(name, func(b *testing.B) { benchmarkRefusal(b, shedding) })
 	}
 }
 
-func benchRefused(b *testing.B, hurried bool) {
-	f := &fake{t: newTable(b), results: []backend.Result{{}}}
-	f.overload.Store(true)
-	f.hurried.Store(hurried)
-	f.screened = verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "over-share", "come back as told").WithRetryAfter(time.Second)
-	f.t.Routes = []table.Route{{Name: "r", Host: "forms.example", Prefix: "/a/", Target: time.Second, Stream: true, Targets: []table.Target{{Service: "scores", Weight: 1}}}}
-	f.t.Index()
+func benchmarkRefusal(b *testing.B, shedding bool) {
+	f := &fake{table: newTable(b), results: []backend.Result{{}}}
+	f.overloaded.Store(true)
+	f.shedding.Store(shedding)
+	f.refusal = verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "over-share", "retry later").WithRetryAfter(time.Second)
+	f.table.Routes = []table.Route{{Name: "r", Host: "forms.example", Prefix: "/a/", Target: time.Second, Stream: true, Targets: []table.Target{{Service: "scores", Weight: 1}}}}
+	f.table.Index()
 	m, err := metrics.New("z")
 	if err != nil {
 		b.Fatal(err)
@@ -52,7 +50,7 @@
 	defer func() { _ = srv.Close() }()
 	body := strings.Repeat("x", 2400)
 	b.ReportAllocs()
-	begun := processorTime(b)
+	before := processorTime(b)
 	for i := range b.N {
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -67,7 +65,7 @@
 		_ = resp.Body.Close()
 		_ = conn.Close()
 	}
-	b.ReportMetric(float64((processorTime(b)-begun).Microseconds())/float64(b.N), "processor-us/op")
+	b.ReportMetric(float64((processorTime(b)-before).Microseconds())/float64(b.N), "processor-us/op")
 }
 
 // processorTime returns the processor time of this process.
--- a/internal/front/early_test.go
+++ b/internal/front/early_test.go
@@ -18,19 +18,20 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// screenedServer serves one route, whose requests the scheduler refuses unseen or not.
-func screenedServer(t testing.TB, refuse bool) (*fake, string) {
+// newRoutedServer starts a server with a private and a public route. Its scheduler refuses all
+// requests if refuse is set.
+func newRoutedServer(t testing.TB, refuse bool) (*fake, string) {
 	t.Helper()
-	f := &fake{t: newTable(t), results: []backend.Result{{}}}
-	f.overload.Store(true)
+	f := &fake{table: newTable(t), results: []backend.Result{{}}}
+	f.overloaded.Store(true)
 	if refuse {
-		f.screened = verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "over-share", "come back as told").WithRetryAfter(1500 * time.Millisecond)
+		f.refusal = verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "over-share", "retry later").WithRetryAfter(1500 * time.Millisecond)
 	}
-	f.t.Routes = []table.Route{
+	f.table.Routes = []table.Route{
 		{Name: "r", Host: "forms.example", Prefix: "/a/", Target: time.Second, Stream: true, Targets: []table.Target{{Service: "scores", Weight: 1}}},
 		{Name: "p", Host: "forms.example", Prefix: "/public/", Public: true, Target: time.Second, Targets: []table.Target{{Service: "scores", Weight: 1}}},
 	}
-	f.t.Index()
+	f.table.Index()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -41,15 +42,15 @@
 	return f, ln.Addr().String()
 }
 
-// said is what a caller was told.
-type said struct {
-	Status int
-	Fields map[string]string
-	Body   string
+// receivedResponse holds the parts of a response that a test compares.
+type receivedResponse struct {
+	Status  int
+	Headers map[string]string
+	Body    string
 }
 
-// sayTo sends the pieces of a request one after the other and reads the answer.
-func sayTo(t *testing.T, address string, pieces ...string) said {
+// exchange sends a request in separate writes and reads the response.
+func exchange(t *testing.T, address string, writes ...string) receivedResponse {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -57,11 +58,11 @@
 	}
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
-	for i, piece := range pieces {
+	for i, data := range writes {
 		if i > 0 {
 			time.Sleep(20 * time.Millisecond)
 		}
-		if _, err := io.WriteString(conn, piece); err != nil {
+		if _, err := io.WriteString(conn, data); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -73,62 +74,61 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := said{Status: resp.StatusCode, Fields: map[string]string{}, Body: string(body)}
+	received := receivedResponse{Status: resp.StatusCode, Headers: map[string]string{}, Body: string(body)}
 	for _, name := range []string{"Content-Type", "Retry-After", verdict.Header, backend.HeaderRequestID, "Cache-Control", "Content-Length"} {
-		s.Fields[name] = resp.Header.Get(name)
+		received.Headers[name] = resp.Header.Get(name)
 	}
 	if !resp.Close {
-		s.Fields["Connection"] = "kept"
+		received.Headers["Connection"] = "kept"
 	}
-	return s
+	return received
 }
 
-// TestEarlyAnswersAreTheSame sends the same requests to a router that is short of time,
-// which looks at them before its HTTP server does, and to one that is not: callers are
-// told the same, and each request is screened once.
-func TestEarlyAnswersAreTheSame(t *testing.T) {
+// TestEarlyRefusalMatchesHTTPServer guards against differences between the early check and the
+// HTTP server: both must send the same response and check admission equally often.
+func TestEarlyRefusalMatchesHTTPServer(t *testing.T) {
 	const fields = "Host: forms.example\r\n" + backend.HeaderRequestID + ": q-1\r\n" + front.HeaderDeadline + ": 8000\r\nAuthorization: Bearer secret\r\n"
-	request := func(line, more, body string) string {
-		return line + "\r\n" + fields + more + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
+	request := func(line, extra, body string) string {
+		return line + "\r\n" + fields + extra + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 	}
 	long := strings.Repeat("x", 40<<10)
 	tests := map[string][]string{
-		"plain":                    {request("POST /a/x HTTP/1.1", "", "body")},
-		"no body":                  {"GET /a/x?q=1 HTTP/1.1\r\n" + fields + "\r\n"},
-		"sizes stated":             {request("POST /a/x HTTP/1.1", front.HeaderTokens+": 1200,60\r\n", "body")},
-		"sizes that are none":      {request("POST /a/x HTTP/1.1", front.HeaderTokens+": many\r\n", "body")},
-		"long body":                {request("POST /a/x HTTP/1.1", "", long)},
-		"longer than is drained":   {request("POST /a/x HTTP/1.1", "", long+long)},
-		"body later":               {request("POST /a/x HTTP/1.1", "", long)[:600], request("POST /a/x HTTP/1.1", "", long)[600:]},
-		"head in pieces":           {"POST /a/x HT", request("POST /a/x HTTP/1.1", "", "body")[12:]},
-		"head in many pieces":      {"POST ", "/a/x ", "HT", request("POST /a/x HTTP/1.1", "", "body")[12:]},
-		"small letters":            {"POST /a/x HTTP/1.1\r\n" + strings.ReplaceAll(fields, "Host", "host") + "content-length: 4\r\n\r\nbody"},
-		"chunked":                  {"POST /a/x HTTP/1.1\r\n" + fields + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"},
-		"waits for a word":         {request("POST /a/x HTTP/1.1", "Expect: 100-continue\r\n", "")},
-		"older protocol":           {request("POST /a/x HTTP/1.0", "", "body")},
-		"key of nobody":            {strings.Replace(request("POST /a/x HTTP/1.1", "", "body"), "secret", "other", 1)},
-		"no key":                   {strings.Replace(request("POST /a/x HTTP/1.1", "", "body"), "Authorization", "X-Other", 1)},
-		"no id":                    {strings.Replace(request("POST /a/x HTTP/1.1", "", "body"), backend.HeaderRequestID, "X-Other", 1)},
-		"a deadline that is none":  {strings.Replace(request("POST /a/x HTTP/1.1", "", "body"), "8000", "soon", 1)},
-		"a deadline twice":         {request("POST /a/x HTTP/1.1", front.HeaderDeadline+": 9000\r\n", "body")},
-		"public route":             {request("POST /public/x HTTP/1.1", "", "body")},
-		"no route":                 {request("POST /b/x HTTP/1.1", "", "body")},
-		"a field without its name": {request("POST /a/x HTTP/1.1", ": odd\r\n", "body")},
-		"not HTTP":                 {"hello, this is no request at all\r\n\r\n"},
+		"plain":                     {request("POST /a/x HTTP/1.1", "", "body")},
+		"no body":                   {"GET /a/x?q=1 HTTP/1.1\r\n" + fields + "\r\n"},
+		"token counts":              {request("POST /a/x HTTP/1.1", front.HeaderTokens+": 1200,60\r\n", "body")},
+		"invalid token counts":      {request("POST /a/x HTTP/1.1", front.HeaderTokens+": many\r\n", "body")},
+		"long body":                 {request("POST /a/x HTTP/1.1", "", long)},
+		"body over the early limit": {request("POST /a/x HTTP/1.1", "", long+long)},
+		"body in a second write":    {request("POST /a/x HTTP/1.1", "", long)[:600], request("POST /a/x HTTP/1.1", "", long)[600:]},
+		"head in two writes":        {"POST /a/x HT", request("POST /a/x HTTP/1.1", "", "body")[12:]},
+		"head in four writes":       {"POST ", "/a/x ", "HT", request("POST /a/x HTTP/1.1", "", "body")[12:]},
+		"lower-case names":          {"POST /a/x HTTP/1.1\r\n" + strings.ReplaceAll(fields, "Host", "host") + "content-length: 4\r\n\r\nbody"},
+		"chunked":                   {"POST /a/x HTTP/1.1\r\n" + fields + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"},
+		"expects 100-continue":      {request("POST /a/x HTTP/1.1", "Expect: 100-continue\r\n", "")},
+		"HTTP 1.0":                  {request("POST /a/x HTTP/1.0", "", "body")},
+		"unknown key":               {strings.Replace(request("POST /a/x HTTP/1.1", "", "body"), "secret", "other", 1)},
+		"no key":                    {strings.Replace(request("POST /a/x HTTP/1.1", "", "body"), "Authorization", "X-Other", 1)},
+		"no id":                     {strings.Replace(request("POST /a/x HTTP/1.1", "", "body"), backend.HeaderRequestID, "X-Other", 1)},
+		"invalid deadline":          {strings.Replace(request("POST /a/x HTTP/1.1", "", "body"), "8000", "soon", 1)},
+		"repeated deadline":         {request("POST /a/x HTTP/1.1", front.HeaderDeadline+": 9000\r\n", "body")},
+		"public route":              {request("POST /public/x HTTP/1.1", "", "body")},
+		"no route":                  {request("POST /b/x HTTP/1.1", "", "body")},
+		"field without a name":      {request("POST /a/x HTTP/1.1", ": odd\r\n", "body")},
+		"not HTTP":                  {"hello, this is no request at all\r\n\r\n"},
 	}
-	for name, pieces := range tests {
+	for name, writes := range tests {
 		for _, refuse := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, refused %v", name, refuse), func(t *testing.T) {
-				f, address := screenedServer(t, refuse)
-				want := sayTo(t, address, pieces...)
-				screens := f.screens.Swap(0)
-				f.hurried.Store(true)
-				got := sayTo(t, address, pieces...)
+				f, address := newRoutedServer(t, refuse)
+				want := exchange(t, address, writes...)
+				checks := f.admissionChecks.Swap(0)
+				f.shedding.Store(true)
+				got := exchange(t, address, writes...)
 				if diff := cmp.Diff(want, got); diff != "" {
-					t.Errorf("a router short of time (+) says something else (-):\n%s", diff)
+					t.Errorf("the early refusal (+) differs from the HTTP server's response (-):\n%s", diff)
 				}
-				if f.screens.Load() != screens {
-					t.Errorf("screened %d times, want %d", f.screens.Load(), screens)
+				if f.admissionChecks.Load() != checks {
+					t.Errorf("%d admission checks, want %d", f.admissionChecks.Load(), checks)
 				}
 			})
 		}
--- a/internal/front/forward_test.go
+++ b/internal/front/forward_test.go
@@ -16,54 +16,55 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// handsOn is a forwarder with one outcome.
-type handsOn struct {
+// fakeForwarder is a Forwarder with a fixed outcome.
+type fakeForwarder struct {
 	outcome forward.Outcome
-	asked   chan string
+	heads   chan string
 }
 
-func (h *handsOn) Forward(c net.Conn, first []byte, by table.Version, until time.Time) forward.Result {
-	h.asked <- string(first)
-	did := forward.Result{Outcome: h.outcome, To: "b", Read: first}
-	switch h.outcome {
+func (f *fakeForwarder) Forward(c net.Conn, head []byte, version table.Version, deadline time.Time) forward.Result {
+	f.heads <- string(head)
+	result := forward.Result{Outcome: f.outcome, To: "b", Read: head}
+	switch f.outcome {
 	case forward.Ended:
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 		_ = c.Close()
 	case forward.NotTaken:
-		// The rest of the body came meanwhile.
-		did.Read = append(did.Read, "dy"...)
+		// The rest of the body arrived meanwhile.
+		result.Read = append(result.Read, "dy"...)
 	}
-	return did
+	return result
 }
 
-// TestRequestsThatAreHandedOn has a router hand on what it has no time for.
-func TestRequestsThatAreHandedOn(t *testing.T) {
+// TestRefusedRequestsAreForwarded checks which refused requests are forwarded and what callers
+// receive.
+func TestRefusedRequestsAreForwarded(t *testing.T) {
 	tests := map[string]struct {
-		code    string
-		may     bool
-		outcome forward.Outcome
-		status  int
-		verdict string
-		asked   bool
+		code       string
+		mayForward bool
+		outcome    forward.Outcome
+		status     int
+		verdict    string
+		forwarded  bool
 	}{
-		"answered by another":            {front.CodeOverloaded, true, forward.Ended, 200, "", true},
-		"nobody takes it":                {front.CodeOverloaded, true, forward.NotTaken, 503, "not-run", true},
-		"the other is lost":              {front.CodeOverloaded, true, forward.Unknown, 502, "may-have-run", true},
-		"more than may be handed on now": {front.CodeOverloaded, false, forward.Ended, 503, "not-run", false},
-		"beyond its account's share":     {"over-share", true, forward.Ended, 503, "not-run", false},
+		"answered by the peer":     {front.CodeOverloaded, true, forward.Ended, 200, "", true},
+		"no peer accepts":          {front.CodeOverloaded, true, forward.NotTaken, 503, "not-run", true},
+		"peer lost":                {front.CodeOverloaded, true, forward.Unknown, 502, "may-have-run", true},
+		"forwarding not allowed":   {front.CodeOverloaded, false, forward.Ended, 503, "not-run", false},
+		"over the account's share": {"over-share", true, forward.Ended, 503, "not-run", false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			f, _ := screenedServer(t, true)
-			f.screened = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, tc.code, "come back as told").WithRetryAfter(time.Second)
-			f.hurried.Store(true)
-			f.mayForward.Store(tc.may)
-			other := &handsOn{tc.outcome, make(chan string, 1)}
+			f, _ := newRoutedServer(t, true)
+			f.refusal = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, tc.code, "retry later").WithRetryAfter(time.Second)
+			f.shedding.Store(true)
+			f.mayForward.Store(tc.mayForward)
+			forwarder := &fakeForwarder{tc.outcome, make(chan string, 1)}
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			srv := front.New("r", 1, f, f, front.WithForwarder(other))
+			srv := front.New("r", 1, f, f, front.WithForwarder(forwarder))
 			go func() { _ = srv.Serve(ln) }()
 			t.Cleanup(func() { _ = srv.Close() })
 			conn, err := net.Dial("tcp", ln.Addr().String())
@@ -76,7 +77,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !tc.asked || tc.outcome == forward.Unknown {
+			if !tc.forwarded || tc.outcome == forward.Unknown {
 				_, _ = conn.Write([]byte("dy"))
 			}
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -84,47 +85,48 @@
 				t.Fatal(err)
 			}
 			if resp.StatusCode != tc.status || resp.Header.Get(verdict.Header) != tc.verdict {
-				t.Errorf("status %d, %q", resp.StatusCode, resp.Header.Get(verdict.Header))
+				t.Errorf("status %d, verdict %q", resp.StatusCode, resp.Header.Get(verdict.Header))
 			}
-			if back := resp.Header.Get("Retry-After"); (back != "") != (tc.status == http.StatusServiceUnavailable) {
-				t.Errorf("come back after %q", back)
+			if retryAfter := resp.Header.Get("Retry-After"); (retryAfter != "") != (tc.status == http.StatusServiceUnavailable) {
+				t.Errorf("Retry-After %q", retryAfter)
 			}
 			select {
-			case first := <-other.asked:
-				if !tc.asked || !strings.HasPrefix(first, "POST /a/x") {
-					t.Errorf("handed on %q", first)
+			case head := <-forwarder.heads:
+				if !tc.forwarded || !strings.HasPrefix(head, "POST /a/x") {
+					t.Errorf("forwarded %q", head)
 				}
 			default:
-				if tc.asked {
-					t.Error("it was not handed on")
+				if tc.forwarded {
+					t.Error("the request was not forwarded")
 				}
 			}
 		})
 	}
 }
 
-// slowly hands a connection on until it is told to end.
-type slowly struct{ begun, end chan struct{} }
+// blockingForwarder forwards a connection until release is closed.
+type blockingForwarder struct{ started, release chan struct{} }
 
-func (h *slowly) Forward(c net.Conn, _ []byte, _ table.Version, _ time.Time) forward.Result {
-	close(h.begun)
-	<-h.end
+func (f *blockingForwarder) Forward(c net.Conn, _ []byte, _ table.Version, _ time.Time) forward.Result {
+	close(f.started)
+	<-f.release
 	_ = c.Close()
 	return forward.Result{Outcome: forward.Ended}
 }
 
-// TestShutdownWaitsForWhatIsHandedOn stops a router whose caller is served by another one.
-func TestShutdownWaitsForWhatIsHandedOn(t *testing.T) {
-	f, _ := screenedServer(t, true)
-	f.screened = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, front.CodeOverloaded, "come back as told").WithRetryAfter(time.Second)
-	f.hurried.Store(true)
+// TestShutdownWaitsForForwardedConnections guards against a shutdown that cuts off connections
+// that are being forwarded.
+func TestShutdownWaitsForForwardedConnections(t *testing.T) {
+	f, _ := newRoutedServer(t, true)
+	f.refusal = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, front.CodeOverloaded, "retry later").WithRetryAfter(time.Second)
+	f.shedding.Store(true)
 	f.mayForward.Store(true)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &slowly{make(chan struct{}), make(chan struct{})}
-	srv := front.New("r", 1, f, f, front.WithForwarder(h))
+	forwarder := &blockingForwarder{make(chan struct{}), make(chan struct{})}
+	srv := front.New("r", 1, f, f, front.WithForwarder(forwarder))
 	go func() { _ = srv.Serve(ln) }()
 	conn, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -132,16 +134,16 @@
 	}
 	defer func() { _ = conn.Close() }()
 	_, _ = fmt.Fprintf(conn, "GET /a/x HTTP/1.1\r\nHost: forms.example\r\n%s: q-1\r\n%s: 8000\r\nAuthorization: Bearer secret\r\n\r\n", backend.HeaderRequestID, front.HeaderDeadline)
-	<-h.begun
-	ended := make(chan error, 1)
-	go func() { ended <- srv.Shutdown(t.Context()) }()
+	<-forwarder.started
+	done := make(chan error, 1)
+	go func() { done <- srv.Shutdown(t.Context()) }()
 	select {
-	case err := <-ended:
-		t.Fatalf("it stopped (%v) while its caller was served", err)
+	case err := <-done:
+		t.Fatalf("Shutdown returned (%v) while a connection was being forwarded", err)
 	case <-time.After(100 * time.Millisecond):
 	}
-	close(h.end)
-	if err := <-ended; err != nil {
+	close(forwarder.release)
+	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -24,40 +24,40 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// fake is a scheduler that grants at once and a backend server that answers
-// as it is told, one result for each attempt.
+// fake is a Scheduler that grants slots at once and a Backend that returns results in order,
+// repeating the last one.
 type fake struct {
-	t        *table.Table
-	results  []backend.Result
-	attempts atomic.Int64
-	released atomic.Int64
-	claimErr error
-	voided   atomic.Int64
-	calls    chan backend.Call
-	asked    chan front.Request
-	overload atomic.Bool
-	hurried  atomic.Bool
-	// mayForward says that what is refused may be handed on.
-	mayForward atomic.Bool
-	screens    atomic.Int64
-	screened   *verdict.Error
+	table      *table.Table
+	results    []backend.Result
+	attempts   atomic.Int64
+	released   atomic.Int64
+	claimErr   error
+	unclaimed  atomic.Int64
+	calls      chan backend.Call
+	requests   chan front.Request
+	overloaded atomic.Bool
+	shedding   atomic.Bool
+	// mayForward is the result of MayForward.
+	mayForward      atomic.Bool
+	admissionChecks atomic.Int64
+	refusal         *verdict.Error
 }
 
-func (f *fake) Table() *table.Table           { return f.t }
+func (f *fake) Table() *table.Table           { return f.table }
 func (f *fake) SpendRetry(front.Request) bool { return true }
-func (f *fake) Overloaded() bool              { return f.overload.Load() }
+func (f *fake) Overloaded() bool              { return f.overloaded.Load() }
 func (f *fake) MayForward(front.Request) bool { return f.mayForward.Load() }
-func (f *fake) Shedding() bool                { return f.hurried.Load() }
+func (f *fake) Shedding() bool                { return f.shedding.Load() }
 func (f *fake) CheckAdmission(front.Request) *verdict.Error {
-	f.screens.Add(1)
-	return f.screened
+	f.admissionChecks.Add(1)
+	return f.refusal
 }
 func (f *fake) Release(front.Grant, front.Usage)         { f.released.Add(1) }
 func (f *fake) Claim(context.Context, front.Claim) error { return f.claimErr }
-func (f *fake) Unclaim(front.Claim)                      { f.voided.Add(1) }
+func (f *fake) Unclaim(front.Claim)                      { f.unclaimed.Add(1) }
 func (f *fake) Acquire(ctx context.Context, r front.Request) (front.Grant, error) {
 	select {
-	case f.asked <- r:
+	case f.requests <- r:
 	default:
 	}
 	if time.Until(r.Deadline) < 50*time.Millisecond {
@@ -123,7 +123,7 @@
 	Code    string
 }
 
-func inboundRequest(t *testing.T, method, url, body string, header map[string]string) reply {
+func doRequest(t *testing.T, method, url, body string, header map[string]string) reply {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -144,8 +144,8 @@
 	}
 	var p front.Problem
 	if resp.StatusCode >= http.StatusBadRequest {
-		if kind := resp.Header.Get("Content-Type"); kind != "application/problem+json" {
-			t.Errorf("content type %q", kind)
+		if contentType := resp.Header.Get("Content-Type"); contentType != "application/problem+json" {
+			t.Errorf("content type %q", contentType)
 		}
 		if err := json.Unmarshal(data, &p); err != nil {
 			t.Errorf("body %q: %v", data, err)
@@ -161,25 +161,25 @@
 		header             map[string]string
 		want               reply
 	}{
-		"no key":            {"POST", front.PathCompletions, good, map[string]string{"Authorization": "x"}, reply{401, "not-run", "no-key"}},
-		"wrong key":         {"POST", front.PathCompletions, good, map[string]string{"Authorization": "Bearer nope"}, reply{403, "not-run", "wrong-key"}},
-		"malformed json":    {"POST", front.PathCompletions, `{"model":`, nil, reply{400, "not-run", "bad-json"}},
-		"two json values":   {"POST", front.PathCompletions, good + good, nil, reply{400, "not-run", "bad-json"}},
-		"no model":          {"POST", front.PathChat, `{}`, nil, reply{400, "not-run", "bad-json"}},
-		"unknown model":     {"POST", front.PathChat, `{"model":"nope"}`, nil, reply{404, "not-run", "no-such-model"}},
-		"unknown service":   {"POST", "/services/nope/x", "", nil, reply{404, "not-run", "no-such-model"}},
-		"unknown path":      {"GET", "/nope", "", nil, reply{404, "not-run", "no-such-path"}},
-		"body over the cap": {"POST", front.PathCompletions, strings.Repeat("x", 2000), nil, reply{413, "not-run", "body-too-large"}},
-		"bad deadline":      {"POST", front.PathCompletions, good, map[string]string{front.HeaderDeadline: "soon"}, reply{400, "not-run", "bad-header"}},
-		"bad priority":      {"POST", front.PathCompletions, good, map[string]string{front.HeaderPriority: "10"}, reply{400, "not-run", "bad-header"}},
-		"bad mark":          {"POST", front.PathCompletions, good, map[string]string{front.HeaderNotRepeatable: "maybe"}, reply{400, "not-run", "bad-header"}},
-		"deadline passes":   {"POST", front.PathCompletions, good, map[string]string{front.HeaderDeadline: "20"}, reply{504, "not-run", "deadline"}},
+		"no key":                  {"POST", front.PathCompletions, good, map[string]string{"Authorization": "x"}, reply{401, "not-run", "no-key"}},
+		"wrong key":               {"POST", front.PathCompletions, good, map[string]string{"Authorization": "Bearer nope"}, reply{403, "not-run", "wrong-key"}},
+		"malformed json":          {"POST", front.PathCompletions, `{"model":`, nil, reply{400, "not-run", "bad-json"}},
+		"two json values":         {"POST", front.PathCompletions, good + good, nil, reply{400, "not-run", "bad-json"}},
+		"no model":                {"POST", front.PathChat, `{}`, nil, reply{400, "not-run", "bad-json"}},
+		"unknown model":           {"POST", front.PathChat, `{"model":"nope"}`, nil, reply{404, "not-run", "no-such-model"}},
+		"unknown service":         {"POST", "/services/nope/x", "", nil, reply{404, "not-run", "no-such-model"}},
+		"unknown path":            {"GET", "/nope", "", nil, reply{404, "not-run", "no-such-path"}},
+		"body over the limit":     {"POST", front.PathCompletions, strings.Repeat("x", 2000), nil, reply{413, "not-run", "body-too-large"}},
+		"bad deadline":            {"POST", front.PathCompletions, good, map[string]string{front.HeaderDeadline: "soon"}, reply{400, "not-run", "bad-header"}},
+		"bad priority":            {"POST", front.PathCompletions, good, map[string]string{front.HeaderPriority: "10"}, reply{400, "not-run", "bad-header"}},
+		"bad not-repeatable flag": {"POST", front.PathCompletions, good, map[string]string{front.HeaderNotRepeatable: "maybe"}, reply{400, "not-run", "bad-header"}},
+		"deadline passes":         {"POST", front.PathCompletions, good, map[string]string{front.HeaderDeadline: "20"}, reply{504, "not-run", "deadline"}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			f := &fake{t: newTable(t), results: []backend.Result{{}}}
+			f := &fake{table: newTable(t), results: []backend.Result{{}}}
 			url := start(t, f, front.WithMaxBody(1000))
-			if diff := cmp.Diff(tc.want, inboundRequest(t, tc.method, url+tc.path, tc.body, tc.header)); diff != "" {
+			if diff := cmp.Diff(tc.want, doRequest(t, tc.method, url+tc.path, tc.body, tc.header)); diff != "" {
 				t.Errorf("reply (-want +got):\n%s", diff)
 			}
 			if f.attempts.Load() != 0 {
@@ -190,7 +190,7 @@
 }
 
 func TestChunkedBodyThatStops(t *testing.T) {
-	f := &fake{t: newTable(t), results: []backend.Result{{}}}
+	f := &fake{table: newTable(t), results: []backend.Result{{}}}
 	url := start(t, f, front.WithIOTimeout(100*time.Millisecond))
 	conn, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 	if err != nil {
@@ -203,7 +203,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Contains(answer, []byte("400 Bad Request")) || !bytes.Contains(answer, []byte("body-cut")) || f.attempts.Load() != 0 {
-		t.Errorf("answer %q, attempts %d", answer, f.attempts.Load())
+		t.Errorf("response %q, attempts %d", answer, f.attempts.Load())
 	}
 }
 
@@ -214,79 +214,79 @@
 func TestRetriesFollowTheVerdict(t *testing.T) {
 	ok := backend.Result{}
 	unreachable := failed(verdict.PhaseDial, "backend-unreachable", false)
-	broke := failed(verdict.PhaseHeader, "backend-broke", true)
+	broken := failed(verdict.PhaseHeader, "backend-broke", true)
 	tests := map[string]struct {
-		results  []backend.Result
-		once     string
-		want     reply
-		attempts int64
+		results       []backend.Result
+		notRepeatable string
+		want          reply
+		attempts      int64
 	}{
-		"not run is tried again":           {[]backend.Result{unreachable, ok}, "true", reply{200, "ran", ""}, 2},
-		"in doubt is tried again":          {[]backend.Result{broke, ok}, "false", reply{200, "ran", ""}, 2},
-		"in doubt but not to be repeated":  {[]backend.Result{broke, ok}, "true", reply{502, "may-have-run", "backend-broke"}, 1},
-		"an earlier doubt stays":           {[]backend.Result{broke, failed(verdict.PhaseDial, "other", false)}, "false", reply{502, "may-have-run", "other"}, 2},
-		"part of the answer was passed on": {[]backend.Result{{Err: broke.Err, Sent: true, Began: true}}, "false", reply{502, "may-have-run", "backend-broke"}, 1},
+		"not run is retried":              {[]backend.Result{unreachable, ok}, "true", reply{200, "ran", ""}, 2},
+		"may have run is retried":         {[]backend.Result{broken, ok}, "false", reply{200, "ran", ""}, 2},
+		"may have run, not repeatable":    {[]backend.Result{broken, ok}, "true", reply{502, "may-have-run", "backend-broke"}, 1},
+		"an earlier attempt may have run": {[]backend.Result{broken, failed(verdict.PhaseDial, "other", false)}, "false", reply{502, "may-have-run", "other"}, 2},
+		"part of the response was sent":   {[]backend.Result{{Err: broken.Err, Sent: true, Began: true}}, "false", reply{502, "may-have-run", "backend-broke"}, 1},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			f := &fake{t: newTable(t), results: tc.results}
-			got := inboundRequest(t, "POST", start(t, f)+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderNotRepeatable: tc.once})
+			f := &fake{table: newTable(t), results: tc.results}
+			got := doRequest(t, "POST", start(t, f)+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderNotRepeatable: tc.notRepeatable})
 			if diff := cmp.Diff(tc.want, got); diff != "" {
 				t.Errorf("reply (-want +got):\n%s", diff)
 			}
 			if f.attempts.Load() != tc.attempts || f.released.Load() != tc.attempts {
-				t.Errorf("%d attempts, %d slots given back, want %d", f.attempts.Load(), f.released.Load(), tc.attempts)
+				t.Errorf("%d attempts, %d slots released, want %d", f.attempts.Load(), f.released.Load(), tc.attempts)
 			}
 		})
 	}
 }
 
 func TestServicesAreNotRepeatedUnlessReadOnly(t *testing.T) {
-	for method, once := range map[string]bool{"POST": true, "PUT": true, "DELETE": true, "GET": false} {
+	for method, notRepeatable := range map[string]bool{"POST": true, "PUT": true, "DELETE": true, "GET": false} {
 		t.Run(method, func(t *testing.T) {
-			f := &fake{t: newTable(t), results: []backend.Result{{}}, calls: make(chan backend.Call, 1)}
-			inboundRequest(t, method, start(t, f)+"/services/scores/game/7?a=b", "", nil)
+			f := &fake{table: newTable(t), results: []backend.Result{{}}, calls: make(chan backend.Call, 1)}
+			doRequest(t, method, start(t, f)+"/services/scores/game/7?a=b", "", nil)
 			call := <-f.calls
-			if call.NotRepeatable != once || call.Path != "/game/7?a=b" || call.Method != method {
-				t.Errorf("call %s %s, once %v", call.Method, call.Path, call.NotRepeatable)
+			if call.NotRepeatable != notRepeatable || call.Path != "/game/7?a=b" || call.Method != method {
+				t.Errorf("call %s %s, not repeatable: %v", call.Method, call.Path, call.NotRepeatable)
 			}
 			if call.Header.Get("Authorization") != "" {
-				t.Error("the caller's key was passed on")
+				t.Error("the caller's key reached the backend server")
 			}
 		})
 	}
 }
 
-// TestReservedHeadersAreDropped has a caller of the own interface give an order
-// that only the fleet may give a backend server.
+// TestReservedHeadersAreDropped guards against callers setting headers that only routers may
+// send to backend servers.
 func TestReservedHeadersAreDropped(t *testing.T) {
-	f := &fake{t: newTable(t), results: []backend.Result{{}}, calls: make(chan backend.Call, 1)}
+	f := &fake{table: newTable(t), results: []backend.Result{{}}, calls: make(chan backend.Call, 1)}
 	url := start(t, f)
-	inboundRequest(t, "POST", url+"/services/scores/x", "", map[string]string{backend.HeaderPriority: "9", "X-Own": "kept"})
+	doRequest(t, "POST", url+"/services/scores/x", "", map[string]string{backend.HeaderPriority: "9", "X-Own": "kept"})
 	call := <-f.calls
 	if got := call.Header.Get(backend.HeaderPriority); got != "" {
 		t.Errorf("the caller's %s reached the backend server: %q", backend.HeaderPriority, got)
 	}
 	if got := call.Header.Get("X-Own"); got != "kept" {
-		t.Errorf("the caller's own header is %q", got)
+		t.Errorf("an unreserved header arrived as %q", got)
 	}
 }
 
-func TestKeyIsTakenBackWhenNothingRan(t *testing.T) {
-	f := &fake{t: newTable(t), results: []backend.Result{failed(verdict.PhaseDial, "other", false)}}
-	inboundRequest(t, "POST", start(t, f)+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderIdempotencyKey: "k"})
-	if f.voided.Load() != 1 {
-		t.Errorf("taken back %d times", f.voided.Load())
+func TestClaimIsReleasedWhenNothingRan(t *testing.T) {
+	f := &fake{table: newTable(t), results: []backend.Result{failed(verdict.PhaseDial, "other", false)}}
+	doRequest(t, "POST", start(t, f)+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderIdempotencyKey: "k"})
+	if f.unclaimed.Load() != 1 {
+		t.Errorf("claim released %d times, want 1", f.unclaimed.Load())
 	}
 }
 
-// TestOverloadedRouterEndsConnections looks that callers of a router which
-// cannot keep up are sent away with their answers, and kept otherwise.
+// TestOverloadedRouterEndsConnections checks that responses close their connections while the
+// router is overloaded.
 func TestOverloadedRouterEndsConnections(t *testing.T) {
 	for name, overloaded := range map[string]bool{"keeps up": false, "overloaded": true} {
 		t.Run(name, func(t *testing.T) {
-			f := &fake{t: newTable(t), results: []backend.Result{{}}}
-			f.overload.Store(overloaded)
+			f := &fake{table: newTable(t), results: []backend.Result{{}}}
+			f.overloaded.Store(overloaded)
 			req, err := http.NewRequest("POST", start(t, f)+"/services/scores/x", nil)
 			if err != nil {
 				t.Fatal(err)
@@ -298,22 +298,21 @@
 			}
 			_ = resp.Body.Close()
 			if resp.StatusCode != http.StatusOK || resp.Close != overloaded {
-				t.Errorf("status %d, the connection ends: %v", resp.StatusCode, resp.Close)
+				t.Errorf("status %d, connection closes: %v", resp.StatusCode, resp.Close)
 			}
 		})
 	}
 }
 
-// TestRefusalLeavesTimeForTheWay looks how long a routed request may wait before
-// it is refused: the refusal is to reach its caller within a quarter of the
-// target, and the way here and back takes more than 10 ms of that.
-func TestRefusalLeavesTimeForTheWay(t *testing.T) {
-	const way = 10 * time.Millisecond
+// TestMaxWaitLeavesTimeForTheResponse checks that a routed request is refused early enough for
+// the refusal to arrive within a quarter of the latency target.
+func TestMaxWaitLeavesTimeForTheResponse(t *testing.T) {
+	const networkTime = 10 * time.Millisecond
 	for _, target := range []time.Duration{250, 300, 400, 600, 800} {
 		target *= time.Millisecond
-		f := &fake{t: newTable(t), results: []backend.Result{{}}, asked: make(chan front.Request, 1)}
-		f.t.Routes = []table.Route{{Name: "r", Host: "forms.example", Prefix: "/a/", Target: target, Public: true, Targets: []table.Target{{Service: "scores", Weight: 1}}}}
-		f.t.Index()
+		f := &fake{table: newTable(t), results: []backend.Result{{}}, requests: make(chan front.Request, 1)}
+		f.table.Routes = []table.Route{{Name: "r", Host: "forms.example", Prefix: "/a/", Target: target, Public: true, Targets: []table.Target{{Service: "scores", Weight: 1}}}}
+		f.table.Index()
 		url := start(t, f)
 		req, err := http.NewRequest(http.MethodGet, url+"/a/x", nil)
 		if err != nil {
@@ -326,23 +325,23 @@
 			t.Fatal(err)
 		}
 		_ = resp.Body.Close()
-		if got := (<-f.asked).MaxWait; got <= 0 || got > target/4-way {
-			t.Errorf("a request with a target of %v may wait %v", target, got)
+		if got := (<-f.requests).MaxWait; got <= 0 || got > target/4-networkTime {
+			t.Errorf("MaxWait with a target of %v is %v", target, got)
 		}
 	}
 }
 
-// outcomes keeps what an observer is told.
+// outcomes is an Observer that collects outcomes.
 type outcomes chan front.Outcome
 
 func (o outcomes) RequestEnded(got front.Outcome) { o <- got }
 
-// TestRefusalTellsHowLongItWaited has a request wait in vain for a place.
-func TestRefusalTellsHowLongItWaited(t *testing.T) {
-	told := make(outcomes, 1)
-	url := start(t, &fake{t: newTable(t), results: []backend.Result{{}}}, front.WithObserver(told))
-	inboundRequest(t, "POST", url+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderDeadline: "20"})
-	if got := <-told; got.Code != "deadline" || got.Waited <= 0 || got.Waited > got.Total {
-		t.Errorf("a request that waited until its deadline ended as %+v", got)
+// TestRefusalReportsWaitingTime guards against refused requests reporting no waiting time.
+func TestRefusalReportsWaitingTime(t *testing.T) {
+	observed := make(outcomes, 1)
+	url := start(t, &fake{table: newTable(t), results: []backend.Result{{}}}, front.WithObserver(observed))
+	doRequest(t, "POST", url+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderDeadline: "20"})
+	if got := <-observed; got.Code != "deadline" || got.Waited <= 0 || got.Waited > got.Total {
+		t.Errorf("outcome of a request that waited until its deadline: %+v", got)
 	}
 }
