--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -30,10 +30,10 @@
 // Source is the platform as a router reads it.
 type Source interface {
 	// Read reads everything as it is now.
-	Read(ctx context.Context) (catalog.News, error)
+	Read(ctx context.Context) (catalog.Update, error)
 	// Watch waits for changes after a revision. Its error is
-	// catalog.ErrForgotten if the platform does not remember them.
-	Watch(ctx context.Context, after catalog.Revision, wait time.Duration) (catalog.News, error)
+	// catalog.ErrCompacted if the platform does not remember them.
+	Watch(ctx context.Context, after catalog.Revision, wait time.Duration) (catalog.Update, error)
 	// Revision returns the platform's revision as it is now.
 	Revision(ctx context.Context) (catalog.Revision, error)
 }
@@ -166,7 +166,7 @@
 // WithUniqueStarts says that each start of a backend server has a name of its own unless the
 // directory gives it a number, and refuses what is meant for another.
 func WithUniqueStarts() Option {
-	return func(o *options) { o.core = append(o.core, admit.WithUniqueStarts()) }
+	return func(o *options) { o.core = append(o.core, admit.WithUniqueIncarnations()) }
 }
 
 // WithRandom sets the source of random numbers in [0, 1) that selects which requests are
@@ -251,7 +251,7 @@
 	defer soon.Stop()
 	armed := true
 	for {
-		if !armed && s.core.Busy() {
+		if !armed && s.core.NeedsTicks() {
 			soon.Reset(busyTick)
 			armed = true
 		}
--- a/internal/dispatch/members.go
+++ b/internal/dispatch/members.go
@@ -31,11 +31,11 @@
 // changed.
 func (s *state) membersChanged() {
 	s.membersAt, s.membersDue = s.now, false
-	s.talk = s.roster.Talk(s.now)
+	s.talk = s.roster.Plan(s.now)
 	s.noteRoster()
 	s.takeTurn()
 	var routers []admit.Router
-	for _, address := range s.roster.Staying(s.now) {
+	for _, address := range s.roster.Active(s.now) {
 		if m, ok := s.roster.Get(address); ok {
 			routers = append(routers, admit.Router{Address: address, Zone: m.Zone, Capacity: m.Capacity})
 		}
@@ -51,7 +51,7 @@
 	}
 	s.d.shared.routers.Store(int64(all))
 	s.d.opt.log.Info("members", "live", len(routers)+1, "relay", s.talk.Relay, "mesh", s.talk.Mesh, "leaving", leaving)
-	s.step(admit.Routers{List: routers, Leaving: leaving, Known: known})
+	s.step(admit.Routers{List: routers, Leaving: leaving, KnownByZone: known})
 	s.tellForwarder()
 }
 
@@ -65,7 +65,7 @@
 	var list []forward.Peer
 	for _, r := range s.routers {
 		if r.Zone == s.d.id.Zone {
-			list = append(list, forward.Peer{Address: r.Address, Capacity: r.Share()})
+			list = append(list, forward.Peer{Address: r.Address, Capacity: r.Weight()})
 		}
 	}
 	s.neighbours = len(list)
@@ -79,7 +79,7 @@
 
 // takeTurn finds this router's place among those that read the platform.
 func (s *state) takeTurn() {
-	staying := s.roster.Staying(s.now)
+	staying := s.roster.Active(s.now)
 	turn := 0
 	if s.d.Draining() {
 		turn = len(staying) + watchers
