--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -135,7 +135,7 @@
 // Forwarder hands callers' connections on to other routers.
 type Forwarder interface {
 	// SetPeers replaces the routers that take some, EndStreamsExcept ends what is under
-	// way with all that do not live, Lost with one.
+	// way with all that do not live, EndStreams with one.
 	SetPeers(list []forward.Peer)
 	EndStreamsExcept(live map[string]bool)
 	EndStreams(address string)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -116,12 +116,12 @@
 	for _, name := range []string{"a", "b", "c"} {
 		f := forward.New()
 		srv := &server{conns: make(chan net.Conn), accepts: true}
-		srv.http = &http.Server{Handler: http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
+		srv.http = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			srv.mu.Lock()
 			srv.paths = append(srv.paths, r.URL.Path)
 			srv.mu.Unlock()
-			out.Header().Set("Connection", "close")
-			handler(out, r)
+			w.Header().Set("Connection", "close")
+			handler(w, r)
 		}), ReadHeaderTimeout: waitTimeout}
 		go func() { _ = srv.http.Serve(srv) }()
 		f.Bind(sender{cl.network, name}, srv)
@@ -144,7 +144,7 @@
 	return cl
 }
 
-// call opens a connection with the given bytes already read and forwards it from the entry
+// forward opens a connection with the given bytes already read and forwards it from the entry
 // router. It returns the caller's end and a channel for the result.
 func (cl *cluster) forward(head string, timeout time.Duration) (caller net.Conn, results chan forward.Result) {
 	cl.t.Helper()
@@ -189,12 +189,12 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", path, length)
 }
 
-func echo(out http.ResponseWriter, r *http.Request) {
+func echo(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = out.Write(body)
+	_, _ = w.Write(body)
 }
 
 // requestCount returns the number of requests that reached the peers' handlers.
@@ -202,6 +202,7 @@
 	return len(cl.servers["b"].requestPaths()) + len(cl.servers["c"].requestPaths())
 }
 
+// TestForward checks the outcome of a forwarded connection, including failures of either side.
 func TestForward(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	tests := map[string]func(t *testing.T){
@@ -237,10 +238,10 @@
 			}
 		},
 		"a response in many writes": func(t *testing.T) {
-			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) {
+			cl := newCluster(t, func(w http.ResponseWriter, r *http.Request) {
 				for i := range 200 {
-					_, _ = fmt.Fprintf(out, "event %d\n", i)
-					_ = http.NewResponseController(out).Flush()
+					_, _ = fmt.Fprintf(w, "event %d\n", i)
+					_ = http.NewResponseController(w).Flush()
 				}
 			})
 			caller, results := cl.forward(postHead("/x", 0), waitTimeout)
@@ -254,10 +255,10 @@
 			}
 		},
 		"a caller that reads slowly": func(t *testing.T) {
-			piece := bytes.Repeat([]byte("x"), 64<<10)
-			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) {
+			chunk := bytes.Repeat([]byte("x"), 64<<10)
+			cl := newCluster(t, func(w http.ResponseWriter, r *http.Request) {
 				for range 300 {
-					_, _ = out.Write(piece)
+					_, _ = w.Write(chunk)
 				}
 			})
 			caller, results := cl.forward(postHead("/x", 0), waitTimeout)
@@ -267,11 +268,11 @@
 				t.Fatal(err)
 			}
 			body, err := io.ReadAll(resp.Body)
-			if err != nil || len(body) != 300*len(piece) || cl.waitResult(results).Outcome != forward.Ended {
+			if err != nil || len(body) != 300*len(chunk) || cl.waitResult(results).Outcome != forward.Ended {
 				t.Errorf("%d bytes, %v", len(body), err)
 			}
 		},
-		"the first peer refuses": func(t *testing.T) {
+		"a peer refuses": func(t *testing.T) {
 			cl := newCluster(t, echo)
 			cl.servers["b"].accepts = false
 			caller, results := cl.forward(postHead("/x", 4)+"body", waitTimeout)
@@ -303,7 +304,7 @@
 		},
 		"peer lost before the response": func(t *testing.T) {
 			started := make(chan struct{})
-			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done() })
+			cl := newCluster(t, func(w http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done() })
 			_, results := cl.forward(postHead("/x", 0), waitTimeout)
 			<-started
 			cl.entry.EndStreams("b")
@@ -313,9 +314,9 @@
 			}
 		},
 		"peer lost during the response": func(t *testing.T) {
-			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) {
-				_, _ = fmt.Fprint(out, "event")
-				_ = http.NewResponseController(out).Flush()
+			cl := newCluster(t, func(w http.ResponseWriter, r *http.Request) {
+				_, _ = fmt.Fprint(w, "event")
+				_ = http.NewResponseController(w).Flush()
 				<-r.Context().Done()
 			})
 			caller, results := cl.forward(postHead("/x", 0), waitTimeout)
@@ -332,10 +333,10 @@
 			}
 		},
 		"a response message is lost": func(t *testing.T) {
-			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) {
+			cl := newCluster(t, func(w http.ResponseWriter, r *http.Request) {
 				for range 5 {
-					_, _ = fmt.Fprint(out, "event")
-					_ = http.NewResponseController(out).Flush()
+					_, _ = fmt.Fprint(w, "event")
+					_ = http.NewResponseController(w).Flush()
 				}
 			})
 			cl.network.drop = func(_ string, msg any) bool {
@@ -353,14 +354,14 @@
 			cl.waitResult(results)
 		},
 		"the caller disconnects": func(t *testing.T) {
-			left := make(chan struct{})
+			canceled := make(chan struct{})
 			started := make(chan struct{})
-			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done(); close(left) })
+			cl := newCluster(t, func(w http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done(); close(canceled) })
 			caller, results := cl.forward(postHead("/x", 0), waitTimeout)
 			<-started
 			_ = caller.Close()
 			select {
-			case <-left:
+			case <-canceled:
 			case <-time.After(waitTimeout):
 				t.Error("the peer's request was not canceled")
 			}
@@ -369,21 +370,21 @@
 			}
 		},
 		"the deadline passes": func(t *testing.T) {
-			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+			cl := newCluster(t, func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 			_, results := cl.forward(postHead("/x", 0), 50*time.Millisecond)
 			if result := cl.waitResult(results); result.Outcome != forward.Unknown {
 				t.Errorf("%+v", result)
 			}
 		},
 		"the forwarding router is lost": func(t *testing.T) {
-			left, started := make(chan struct{}), make(chan struct{})
-			cl := newCluster(t, func(out http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done(); close(left) })
+			canceled, started := make(chan struct{}), make(chan struct{})
+			cl := newCluster(t, func(w http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done(); close(canceled) })
 			_, results := cl.forward(postHead("/x", 0), time.Second)
 			<-started
 			cl.network.routers["b"].EndStreams("a")
 			cl.network.routers["c"].EndStreams("a")
 			select {
-			case <-left:
+			case <-canceled:
 			case <-time.After(waitTimeout):
 				t.Error("the peer's request was not canceled")
 			}
--- a/internal/front/ask.go
+++ b/internal/front/ask.go
@@ -91,11 +91,11 @@
 	}
 	in.deadline = in.arrived.Add(timeout)
 	if v := r.Header.Get(HeaderNotRepeatable); v != "" {
-		once, err := strconv.ParseBool(v)
+		notRepeatable, err := strconv.ParseBool(v)
 		if err != nil {
 			return badHeader(HeaderNotRepeatable)
 		}
-		in.notRepeatable = once
+		in.notRepeatable = notRepeatable
 	}
 	if v := r.Header.Get(HeaderPriority); v != "" {
 		p, err := strconv.Atoi(v)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -154,6 +154,8 @@
 	return reply{resp.StatusCode, resp.Header.Get(verdict.Header), p.Code}
 }
 
+// TestBadInputIsRefusedAsNotRun checks that invalid requests are refused as not run and never
+// reach a backend server.
 func TestBadInputIsRefusedAsNotRun(t *testing.T) {
 	good := `{"model":"form","prompt":"x"}`
 	tests := map[string]struct {
@@ -189,6 +191,7 @@
 	}
 }
 
+// TestChunkedBodyThatStops guards against waiting forever for the rest of a body.
 func TestChunkedBodyThatStops(t *testing.T) {
 	f := &fake{table: newTable(t), results: []backend.Result{{}}}
 	url := start(t, f, front.WithIOTimeout(100*time.Millisecond))
@@ -211,6 +214,8 @@
 	return backend.Result{Err: verdict.New(phase, http.StatusBadGateway, code, "made up"), Sent: sent}
 }
 
+// TestRetriesFollowTheVerdict guards against retrying requests that may have run and are not
+// repeatable.
 func TestRetriesFollowTheVerdict(t *testing.T) {
 	ok := backend.Result{}
 	unreachable := failed(verdict.PhaseDial, "backend-unreachable", false)
@@ -241,6 +246,7 @@
 	}
 }
 
+// TestServicesAreNotRepeatedUnlessReadOnly guards against retrying methods that change state.
 func TestServicesAreNotRepeatedUnlessReadOnly(t *testing.T) {
 	for method, notRepeatable := range map[string]bool{"POST": true, "PUT": true, "DELETE": true, "GET": false} {
 		t.Run(method, func(t *testing.T) {
@@ -272,6 +278,8 @@
 	}
 }
 
+// TestClaimIsReleasedWhenNothingRan guards against idempotency keys staying in use after a
+// request that did not run.
 func TestClaimIsReleasedWhenNothingRan(t *testing.T) {
 	f := &fake{table: newTable(t), results: []backend.Result{failed(verdict.PhaseDial, "other", false)}}
 	doRequest(t, "POST", start(t, f)+front.PathCompletions, `{"model":"form"}`, map[string]string{front.HeaderIdempotencyKey: "k"})
