--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -1,6 +1,6 @@
-// Package backend sends one request to one backend server and copies its
-// answer to the caller. It knows at each moment whether a byte of the request
-// was sent, so its verdicts are exact.
+// Package backend sends a request to a backend server and forwards the response to
+// the client. It tracks whether any byte of the request was sent, which determines
+// whether the request may have run.
 package backend
 
 import (
@@ -15,11 +15,11 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// Bounds of an exchange with a backend server.
+// Defaults of a Client.
 const (
-	// DefaultMaxResponse is the largest whole answer that is taken, in bytes.
+	// DefaultMaxResponse limits a response that is not a stream, in bytes.
 	DefaultMaxResponse = 32 << 20
-	// DefaultIdleTimeout is how long a stream may stay silent.
+	// DefaultIdleTimeout limits how long a backend server may send nothing.
 	DefaultIdleTimeout = 60 * time.Second
 	copyBufSize        = 32 << 10
 )
@@ -29,185 +29,180 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Call is one request for one backend server.
+// Call is one request to one backend server.
 type Call struct {
 	Address string
 	Method  string
-	// Path is the path with its query, starting with a slash.
+	// Path starts with a slash and includes the query.
 	Path string
-	// Host is the Host header; "" means the address.
+	// Host is the Host header; "" means Address.
 	Host   string
 	Header http.Header
 	Body   []byte
-	// RequestID is unique in the fleet; an answer to another is refused.
+	// RequestID is unique across the fleet. A response with another id is rejected.
 	RequestID string
 	Priority  int
-	// Account is the client account.
+	// Account is the name of the client account.
 	Account string
-	// Instance is the start of the backend server that is meant, "" for any.
+	// Instance is the expected instance of the backend server, "" for any.
 	Instance string
-	// StartTime is when that start was, 0 if it does not say: it may bear an earlier one's
-	// name.
+	// StartTime is the instance's start time, 0 if unknown. It tells apart instances
+	// with the same name.
 	StartTime int64
-	// MaxConnections is this router's part of the connections that the backend server
-	// takes: beyond it, connections that rest are closed; 0 is no bound.
+	// MaxConnections is this router's share of the connections that the backend server
+	// accepts. Beyond it, idle connections are closed; 0 means no limit.
 	MaxConnections int
-	// Deadline is when the answer is worth nothing any more; zero if the
-	// backend server is not told.
+	// Deadline is sent to the backend server unless it is zero.
 	Deadline time.Time
-	// NotRepeatable says that the request must not run twice.
+	// NotRepeatable marks a request that must not run twice.
 	NotRepeatable bool
-	// MayStream says that the answer to copy may be a stream of events whose
-	// tokens are counted; a plain service's answer is copied as it is.
+	// MayStream allows a stream of events whose events or tokens are counted. Otherwise
+	// the response is forwarded unparsed.
 	MayStream bool
-	// Opaque says that events are passed on without a look at their data.
+	// Opaque means that the data of events is not parsed.
 	Opaque bool
-	// CopyPrefixFrom is the address of a backend server from which the prompt's shared
-	// parts are copied before what is left of it is read, "" if none.
+	// CopyPrefixFrom is the address of a backend server whose cached prompt prefix the
+	// called one copies, "" for none.
 	CopyPrefixFrom string
-	// Resume says that the sink has begun and the answer goes on after
-	// LastEvent.
+	// Resume means that the client already has the response up to LastEvent, and that
+	// the backend server continues after it.
 	Resume bool
-	// LastEvent is the number of the last event that the caller has, 0 if
-	// none.
+	// LastEvent is the number of the last event the client has, 0 for none.
 	LastEvent uint64
-	// WithholdServerErrors says that a failure of the backend server's own is not
-	// passed on, because the request may be tried again.
+	// WithholdServerErrors keeps responses with a 5xx status from the client, so that
+	// the request can be retried.
 	WithholdServerErrors bool
-	// BufferLimit is up to how many bytes a plain answer is taken whole before it
-	// is passed on, so that a broken one can be told or tried again.
+	// BufferLimit is the number of bytes of an unparsed response that are read before
+	// the first is forwarded. A shorter response that breaks off can be retried.
 	BufferLimit int
-	// Failover is how long the backend server may be silent while another one
-	// can be tried.
+	// Failover sets when a request moves from a stalled backend server to another.
 	Failover Failover
-	// MayStart is asked just before the first byte is sent.
+	// MayStart reports whether the lease still holds. It is called again just before
+	// the first byte is sent.
 	MayStart func() bool
-	// BatchDelay tells for how long the events that follow one are gathered, to be passed
-	// on together; nil if each is passed on as it comes.
+	// BatchDelay returns how long to wait after an event, so that the following events
+	// are sent together; nil sends each event at once.
 	BatchDelay func() time.Duration
-	// Served counts the tokens or events as they come.
+	// Served is set to the number of tokens or events received so far.
 	Served *atomic.Int64
-	// OnFirstByte is called when the first event or byte of a body came; nil if
-	// nobody asks.
+	// OnFirstByte, if not nil, is called at the first event or byte of the body.
 	OnFirstByte func()
-	// OnNotice is called with what the backend server says of itself, when the head of its
-	// answer came and if it says something; nil if nobody asks.
+	// OnNotice, if not nil, is called when the response headers hold a notice.
 	OnNotice func(Notice)
 }
 
-// connKey names the connections that may carry the call: one that was opened
-// to an earlier start of a backend server is no use.
+// connKey returns the key of connections that may carry the call. It changes when the
+// backend server restarts.
 func (c *Call) connKey() string {
 	return c.Address + " " + c.Instance + " " + strconv.FormatInt(c.StartTime, 10)
 }
 
-// Sink is where the answer goes.
+// Sink receives the response.
 type Sink interface {
-	// Begin is called once, before any other call.
+	// Begin is called once, before the other methods.
 	Begin(status int, header http.Header)
-	// Write passes bytes on; an error means that the caller went away.
+	// Write returns an error if the client has disconnected.
 	Write(p []byte) (int, error)
-	// Flush sends what was written.
+	// Flush sends the bytes written so far.
 	Flush() error
-	// Trailer is called at most once, after the last byte.
+	// Trailer is called at most once, after the last Write.
 	Trailer(header http.Header)
 }
 
-// Result tells how a call ended.
+// Result is the outcome of a call.
 type Result struct {
-	// Err is nil if the whole answer was passed on.
+	// Err is nil if the whole response was forwarded.
 	Err *verdict.Error
-	// Sent says whether any byte of the request was sent.
+	// Sent reports whether any byte of the request was sent.
 	Sent bool
-	// Began says whether the caller has received a part of the answer.
+	// Began reports whether forwarding of the response has begun.
 	Began bool
-	// Unreachable says that the backend server could not be reached.
+	// Unreachable reports whether no byte could be sent to the backend server.
 	Unreachable bool
-	// Stalled says that it sent nothing for too long.
+	// Stalled reports whether the backend server sent nothing before a timeout.
 	Stalled bool
-	// Status is the answer's status, 0 if there was none.
+	// Status is the status of the response, 0 if there was none.
 	Status int
-	// FirstByte is when the first byte of the body came, zero if none did.
+	// FirstByte is the time of the first event or byte of the body, zero if there was none.
 	FirstByte time.Time
-	// LastEvent is the number of the last event that was passed on.
+	// LastEvent is the number of the last forwarded event.
 	LastEvent uint64
-	// Notice is what the backend server says of itself in its answer.
+	// Notice is read from the response headers.
 	Notice Notice
 }
 
 // Client calls backend servers.
 type Client struct {
 	opt      options
-	conns    *conns
-	hearings hearings
-	passed   passed
+	pool     *connPool
+	activity activityTracker
+	stats    counters
 }
 
-// passed counts what was passed on to callers since the start.
-type passed struct{ events, sends atomic.Int64 }
+type counters struct{ events, flushes atomic.Int64 }
 
-// Stats is what was passed on to callers since the start.
+// Stats counts what a Client has forwarded since its creation.
 type Stats struct {
-	// Events counts the events of streams, Flushes the times that something was sent
-	// on to a caller: one for several events where they came together.
+	// Events counts stream events. Flushes counts writes to clients, each of which may
+	// hold several events.
 	Events, Flushes int64
 }
 
-// Stats returns what was passed on since the start.
+// Stats returns the current counts.
 func (c *Client) Stats() Stats {
-	return Stats{Events: c.passed.events.Load(), Flushes: c.passed.sends.Load()}
+	return Stats{Events: c.stats.events.Load(), Flushes: c.stats.flushes.Load()}
 }
 
 type options struct {
-	dialer    Dialer
-	maxAnswer int64
-	idle      time.Duration
-	dialect   HeaderConfig
-	clock     *clock.Clock
+	dialer      Dialer
+	maxResponse int64
+	idleTimeout time.Duration
+	headers     HeaderConfig
+	clock       *clock.Clock
 }
 
-// Option changes a new Client.
+// Option configures a Client.
 type Option func(*options)
 
 // WithDialer replaces the plain TCP dialer.
 func WithDialer(d Dialer) Option { return func(o *options) { o.dialer = d } }
 
-// WithMaxResponse sets the largest whole answer, in bytes.
-func WithMaxResponse(n int64) Option { return func(o *options) { o.maxAnswer = n } }
+// WithMaxResponse limits responses that are not streams, in bytes.
+func WithMaxResponse(n int64) Option { return func(o *options) { o.maxResponse = n } }
 
-// WithIdleTimeout sets how long a stream may stay silent.
-func WithIdleTimeout(d time.Duration) Option { return func(o *options) { o.idle = d } }
+// WithIdleTimeout limits how long a backend server may send nothing.
+func WithIdleTimeout(d time.Duration) Option { return func(o *options) { o.idleTimeout = d } }
 
-// WithClock sets the clock by which deadlines and rests are told.
+// WithClock sets the clock for deadlines and idle times.
 func WithClock(c *clock.Clock) Option { return func(o *options) { o.clock = c } }
 
-// WithHeaders sets the headers that are exchanged.
-func WithHeaders(d HeaderConfig) Option { return func(o *options) { o.dialect = d } }
+// WithHeaders sets the names of the protocol headers.
+func WithHeaders(d HeaderConfig) Option { return func(o *options) { o.headers = d } }
 
 // New returns a client.
 func New(opts ...Option) *Client {
 	c := &Client{opt: options{
-		dialer:    &net.Dialer{},
-		maxAnswer: DefaultMaxResponse,
-		idle:      DefaultIdleTimeout,
-		dialect:   DefaultHeaders(),
-		clock:     clock.System(),
+		dialer:      &net.Dialer{},
+		maxResponse: DefaultMaxResponse,
+		idleTimeout: DefaultIdleTimeout,
+		headers:     DefaultHeaders(),
+		clock:       clock.System(),
 	}}
 	for _, f := range opts {
 		f(&c.opt)
 	}
-	c.conns = newConns(c.opt.dialer, c.opt.clock)
-	c.hearings.clock, c.hearings.by = c.opt.clock, map[string]*hearing{}
+	c.pool = newConnPool(c.opt.dialer, c.opt.clock)
+	c.activity.clock, c.activity.byServer = c.opt.clock, map[string]*serverActivity{}
 	return c
 }
 
 // Close closes the idle connections.
-func (c *Client) Close() { c.conns.close() }
+func (c *Client) Close() { c.pool.close() }
 
-// Do sends the call and copies the answer to the sink. It returns when the
-// answer ends, fails, or ctx is done.
+// Do sends the request and forwards the response to the sink. It returns when the
+// response ends, the call fails, or ctx is done.
 func (c *Client) Do(ctx context.Context, call Call, sink Sink) Result {
-	x := &exchange{client: c, call: call, sink: sink}
+	x := &roundTrip{client: c, call: call, sink: sink}
 	x.result.LastEvent = call.LastEvent
 	x.run(ctx)
 	return x.result
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -16,148 +16,144 @@
 	"github.com/yarrowmast/yarrowmast/internal/clock"
 )
 
-// Bounds of connections to backend servers.
 const (
-	// dialTimeout bounds the opening of a connection. A lost opening packet
-	// is sent again only after a second, so that it is better to dial anew.
+	// dialTimeout is shorter than the 1 s after which TCP resends a lost SYN, so that
+	// the next attempt starts sooner.
 	dialTimeout = 300 * time.Millisecond
-	// idleFor is how long a connection is kept whose backend server does not
-	// say how long it keeps it.
-	idleFor = 4 * time.Second
-	// idleMargin is how much sooner than the backend server says a connection
-	// is given up, so that no request crosses its end.
-	idleMargin = 700 * time.Millisecond
-	// idleEach bounds the idle connections kept to one backend server.
-	idleEach = 32
-	// freshWithin is how recently a connection must have been used to carry a
-	// request that must not run twice: a request that finds its connection
-	// closed has an unknown fate.
-	freshWithin = 250 * time.Millisecond
-	readBuffer  = 4 << 10
-	// sweepEvery is the interval at which connections that rested too long
-	// are closed.
-	sweepEvery = time.Second
+	// defaultMaxIdle applies to backend servers that send no Keep-Alive timeout.
+	defaultMaxIdle = 4 * time.Second
+	// keepAliveMargin is subtracted from the Keep-Alive timeout, so that no request is
+	// sent while the backend server closes the connection.
+	keepAliveMargin = 700 * time.Millisecond
+	// maxIdlePerServer limits the idle connections to one backend server.
+	maxIdlePerServer = 32
+	// notRepeatableMaxIdle limits the idle time of a connection that carries a request
+	// that must not run twice. If a request meets a connection that the backend server
+	// is closing, it is unknown whether it ran.
+	notRepeatableMaxIdle = 250 * time.Millisecond
+	readBufferSize       = 4 << 10
+	// sweepInterval is the minimum time between scans for expired connections.
+	sweepInterval = time.Second
 )
 
-// conn is one connection to a backend server. One exchange owns it at a time.
+// conn is a connection to a backend server. It carries one call at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// kept says that it has carried a request before.
-	kept bool
-	// rested is when the last exchange ended.
-	rested time.Time
-	// keepFor is how long it may rest.
-	keepFor time.Duration
+	// reused is set once the connection has carried a request.
+	reused    bool
+	idleSince time.Time
+	maxIdle   time.Duration
 }
 
-// conns keeps idle connections by backend server.
-type conns struct {
+// connPool holds the idle connections to backend servers, by Call.connKey.
+type connPool struct {
 	dialer Dialer
 	clock  *clock.Clock
 	mu     sync.Mutex
-	// idle are those that rest, oldest first, inUse how many carry a request.
-	idle   map[string][]*conn
-	inUse  map[string]int
-	swept  time.Time
-	closed bool
+	// idle lists connections with the longest idle first. inUse counts those that carry
+	// a call.
+	idle      map[string][]*conn
+	inUse     map[string]int
+	lastSweep time.Time
+	closed    bool
 }
 
-func newConns(d Dialer, c *clock.Clock) *conns {
-	return &conns{dialer: d, clock: c, idle: map[string][]*conn{}, inUse: map[string]int{}}
+func newConnPool(d Dialer, c *clock.Clock) *connPool {
+	return &connPool{dialer: d, clock: c, idle: map[string][]*conn{}, inUse: map[string]int{}}
 }
 
-// take returns an idle connection that is sound, or a new one. A request that
-// must run once gets only one that was used a moment ago. Each that is taken is
-// given back by put or drop.
-func (cs *conns) take(ctx context.Context, c *Call) (*conn, error) {
+// acquire returns a healthy idle connection or a new one. A request that must not run
+// twice gets an idle connection only if it was used recently. The caller must pass the
+// connection to release or discard.
+func (p *connPool) acquire(ctx context.Context, c *Call) (*conn, error) {
 	key := c.connKey()
 	for {
-		kept := cs.pop(key, c.NotRepeatable)
-		if kept == nil {
+		idle := p.takeIdle(key, c.NotRepeatable)
+		if idle == nil {
 			break
 		}
-		if kept.sound(cs.clock.Now()) {
-			return kept, nil
+		if idle.healthy(p.clock.Now()) {
+			return idle, nil
 		}
-		cs.drop(key, kept)
+		p.discard(key, idle)
 	}
-	cs.makeRoom(key, c.MaxConnections)
-	fresh, err := cs.dial(ctx, c.Address)
+	p.evictIdle(key, c.MaxConnections)
+	opened, err := p.dial(ctx, c.Address)
 	if err != nil {
 		return nil, err
 	}
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	cs.inUse[key]++
-	return fresh, nil
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.inUse[key]++
+	return opened, nil
 }
 
-// makeRoom closes the connections that have rested longest, so that one more leaves
-// this router within its part.
-func (cs *conns) makeRoom(key string, part int) {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	for part > 0 && len(cs.idle[key]) > 0 && len(cs.idle[key])+cs.inUse[key] >= part {
-		cs.closeOldest(key)
+// evictIdle closes the longest idle connections until one more connection stays within
+// the limit; 0 means no limit.
+func (p *connPool) evictIdle(key string, limit int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for limit > 0 && len(p.idle[key]) > 0 && len(p.idle[key])+p.inUse[key] >= limit {
+		p.closeOldest(key)
 	}
 }
 
-// closeOldest closes the connection that has rested longest. cs.mu is held.
-func (cs *conns) closeOldest(key string) {
-	list := cs.idle[key]
+// closeOldest closes the longest idle connection. The caller holds p.mu.
+func (p *connPool) closeOldest(key string) {
+	list := p.idle[key]
 	_ = list[0].Close()
 	if len(list) == 1 {
-		delete(cs.idle, key)
+		delete(p.idle, key)
 		return
 	}
-	cs.idle[key] = slices.Delete(list, 0, 1)
+	p.idle[key] = slices.Delete(list, 0, 1)
 }
 
-// drop closes a connection that was taken.
-func (cs *conns) drop(key string, c *conn) {
+// discard closes an acquired connection.
+func (p *connPool) discard(key string, c *conn) {
 	_ = c.Close()
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	cs.leave(key)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.decrementInUse(key)
 }
 
-// leave counts a connection as used no more. cs.mu is held.
-func (cs *conns) leave(key string) {
-	cs.inUse[key]--
-	if cs.inUse[key] <= 0 {
-		delete(cs.inUse, key)
+// decrementInUse requires that the caller holds p.mu.
+func (p *connPool) decrementInUse(key string) {
+	p.inUse[key]--
+	if p.inUse[key] <= 0 {
+		delete(p.inUse, key)
 	}
 }
 
-func (cs *conns) pop(key string, once bool) *conn {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	now := cs.clock.Now()
-	cs.sweep(now)
-	list := cs.idle[key]
+func (p *connPool) takeIdle(key string, notRepeatable bool) *conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.clock.Now()
+	p.closeExpired(now)
+	list := p.idle[key]
 	if len(list) == 0 {
 		return nil
 	}
 	c := list[len(list)-1]
-	if once && now.Sub(c.rested) > freshWithin {
+	if notRepeatable && now.Sub(c.idleSince) > notRepeatableMaxIdle {
 		return nil
 	}
-	cs.idle[key] = list[:len(list)-1]
-	cs.inUse[key]++
+	p.idle[key] = list[:len(list)-1]
+	p.inUse[key]++
 	return c
 }
 
-// sweep closes the connections that have rested too long.
-func (cs *conns) sweep(now time.Time) {
-	if now.Sub(cs.swept) < sweepEvery {
+// closeExpired closes connections that exceed their idle time. The caller holds p.mu.
+func (p *connPool) closeExpired(now time.Time) {
+	if now.Sub(p.lastSweep) < sweepInterval {
 		return
 	}
-	cs.swept = now
-	for key, list := range cs.idle {
+	p.lastSweep = now
+	for key, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.rested) < c.keepFor {
+			if now.Sub(c.idleSince) < c.maxIdle {
 				kept = append(kept, c)
 			} else {
 				_ = c.Close()
@@ -165,63 +161,63 @@
 		}
 		clear(list[len(kept):])
 		if len(kept) == 0 {
-			delete(cs.idle, key)
+			delete(p.idle, key)
 		} else {
-			cs.idle[key] = kept
+			p.idle[key] = kept
 		}
 	}
 }
 
-// put keeps a connection for the next request, in place of the one that has rested
-// longest where this router has more than its part.
-func (cs *conns) put(call *Call, c *conn) {
+// release returns an acquired connection to the pool. It closes the longest idle
+// connections if the pool exceeds a limit.
+func (p *connPool) release(call *Call, c *conn) {
 	key := call.connKey()
-	c.kept = true
-	c.rested = cs.clock.Now()
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	cs.leave(key)
-	if cs.closed {
+	c.reused = true
+	c.idleSince = p.clock.Now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.decrementInUse(key)
+	if p.closed {
 		_ = c.Close()
 		return
 	}
-	cs.idle[key] = append(cs.idle[key], c)
-	most := idleEach
+	p.idle[key] = append(p.idle[key], c)
+	limit := maxIdlePerServer
 	if call.MaxConnections > 0 {
-		most = max(1, min(most, call.MaxConnections-cs.inUse[key]))
+		limit = max(1, min(limit, call.MaxConnections-p.inUse[key]))
 	}
-	for len(cs.idle[key]) > most {
-		cs.closeOldest(key)
+	for len(p.idle[key]) > limit {
+		p.closeOldest(key)
 	}
 }
 
-func (cs *conns) dial(ctx context.Context, address string) (*conn, error) {
+func (p *connPool) dial(ctx context.Context, address string) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	nc, err := cs.dialer.DialContext(ctx, "tcp", address)
+	nc, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("backend: dial: %w", err)
 	}
-	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, readBuffer), keepFor: idleFor}, nil
+	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, readBufferSize), maxIdle: defaultMaxIdle}, nil
 }
 
-// close closes the idle connections and keeps no more.
-func (cs *conns) close() {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	cs.closed = true
-	for _, list := range cs.idle {
+// close closes the idle connections. Connections released later are closed, too.
+func (p *connPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	for _, list := range p.idle {
 		for _, c := range list {
 			_ = c.Close()
 		}
 	}
-	clear(cs.idle)
+	clear(p.idle)
 }
 
-// sound reports whether an idle connection is still open and quiet. Bytes
-// that came while it rested belong to no request.
-func (c *conn) sound(now time.Time) bool {
-	if now.Sub(c.rested) >= c.keepFor || c.reader.Buffered() > 0 {
+// healthy reports whether an idle connection is open and has no unread data. Data that
+// arrived without a request must not be read as a response.
+func (c *conn) healthy(now time.Time) bool {
+	if now.Sub(c.idleSince) >= c.maxIdle || c.reader.Buffered() > 0 {
 		return false
 	}
 	raw, ok := c.Conn.(syscall.Conn)
@@ -232,25 +228,25 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = rc.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, readErr := syscall.Read(int(fd), one[:])
-		quiet = readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK
+		var buf [1]byte
+		_, readErr := syscall.Read(int(fd), buf[:])
+		noData = readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// learnKeepAlive notes how long the backend server keeps the connection.
-func (c *conn) learnKeepAlive(h http.Header) {
+// applyKeepAlive sets the idle time from the Keep-Alive header.
+func (c *conn) applyKeepAlive(h http.Header) {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		seconds, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
 			continue
 		}
 		if n, err := strconv.Atoi(seconds); err == nil && n >= 0 {
-			c.keepFor = time.Duration(n)*time.Second - idleMargin
+			c.maxIdle = time.Duration(n)*time.Second - keepAliveMargin
 		}
 	}
 }
--- a/internal/backend/events.go
+++ b/internal/backend/events.go
@@ -9,22 +9,21 @@
 	"io"
 )
 
-// Bounds of a stream of events.
 const (
-	// maxEvent is the largest event, in bytes.
-	maxEvent = 1 << 20
-	readSize = 4 << 10
+	maxEventBytes = 1 << 20
+	eventBufSize  = 4 << 10
 )
 
-// Errors of a stream that is not what an engine should send.
+// Errors of an invalid event stream.
 var (
-	ErrMalformed      = errors.New("backend: the stream holds something that is no event")
-	ErrMixedResponses = errors.New("backend: the stream holds a part of another answer")
-	ErrDataAfterEnd   = errors.New("backend: the stream goes on after its end")
-	ErrEventTooLarge  = errors.New("backend: an event is over the limit")
+	ErrMalformed      = errors.New("backend: stream holds malformed data")
+	ErrMixedResponses = errors.New("backend: stream holds a chunk of another response")
+	ErrDataAfterEnd   = errors.New("backend: stream continues after its end marker")
+	ErrEventTooLarge  = errors.New("backend: event exceeds the size limit")
 )
 
-// CompletionReader reads server-sent events of one answer and checks each of them.
+// CompletionReader reads and checks the server-sent events of a completion. It counts
+// their tokens.
 type CompletionReader struct {
 	r      *bufio.Reader
 	event  bytes.Buffer
@@ -33,29 +32,28 @@
 	done   bool
 }
 
-// NewCompletionReader returns a reader of the events in r.
+// NewCompletionReader returns a reader of events from r.
 func NewCompletionReader(r io.Reader) *CompletionReader {
-	return &CompletionReader{r: bufio.NewReaderSize(r, readSize)}
+	return &CompletionReader{r: bufio.NewReaderSize(r, eventBufSize)}
 }
 
-// Tokens returns how many tokens the events so far carried.
+// Tokens returns the number of tokens read so far.
 func (e *CompletionReader) Tokens() int64 { return e.tokens }
 
-// Done reports whether the answer's end was read.
+// Done reports whether the end marker was read.
 func (e *CompletionReader) Done() bool { return e.done }
 
-// Buffered reports whether more bytes have already come, so that what was read
-// so far need not be sent on by itself.
+// Buffered reports whether more bytes can be read without waiting.
 func (e *CompletionReader) Buffered() bool { return e.r.Buffered() > 0 }
 
-// Next returns the bytes of the next event with its blank line; they are valid
-// until the next call. It returns io.EOF where the stream ends between events.
+// Next returns the next event including its blank line. The bytes are valid until the
+// next call. It returns io.EOF if the stream ends between events.
 func (e *CompletionReader) Next() ([]byte, error) {
 	e.event.Reset()
 	for {
 		line, err := e.line()
 		if err != nil {
-			return nil, midEvent(err, &e.event)
+			return nil, eofToUnexpected(err, &e.event)
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 {
 			if e.event.Len() > len(line) {
@@ -69,10 +67,10 @@
 	}
 }
 
-// LastEvent returns 0: these events have no numbers.
+// LastEvent returns 0, since these events have no numbers.
 func (e *CompletionReader) LastEvent() uint64 { return 0 }
 
-// line reads one line into the event and returns it.
+// line appends one line to the event and returns it.
 func (e *CompletionReader) line() ([]byte, error) {
 	start := e.event.Len()
 	if err := readLine(e.r, &e.event); err != nil {
@@ -82,19 +80,19 @@
 }
 
 var (
-	dataField = []byte("data:")
-	endMark   = []byte("[DONE]")
-	// otherFields are the fields of an event besides data, and comments.
-	otherFields = [][]byte{[]byte("event:"), []byte("id:"), []byte("retry:"), []byte(":")}
+	dataPrefix = []byte("data:")
+	doneMarker = []byte("[DONE]")
+	// otherPrefixes begin the other fields of an event, and comments.
+	otherPrefixes = [][]byte{[]byte("event:"), []byte("id:"), []byte("retry:"), []byte(":")}
 )
 
 func (e *CompletionReader) check(line []byte) error {
 	if e.done {
 		return ErrDataAfterEnd
 	}
-	data, ok := bytes.CutPrefix(line, dataField)
+	data, ok := bytes.CutPrefix(line, dataPrefix)
 	if !ok {
-		for _, f := range otherFields {
+		for _, f := range otherPrefixes {
 			if bytes.HasPrefix(line, f) {
 				return nil
 			}
@@ -102,7 +100,7 @@
 		return ErrMalformed
 	}
 	data = bytes.TrimSpace(data)
-	if bytes.Equal(data, endMark) {
+	if bytes.Equal(data, doneMarker) {
 		e.done = true
 		return nil
 	}
@@ -129,8 +127,8 @@
 	return nil
 }
 
-// chunk is what the router reads of an engine's answer. All else passes
-// through unread.
+// chunk holds the parsed fields of an engine's response or stream event. The bytes are
+// forwarded unchanged.
 type chunk struct {
 	ID      string            `json:"id"`
 	Choices []json.RawMessage `json:"choices"`
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -13,104 +13,103 @@
 )
 
 const (
-	// inlineBody is the largest body that is written before the answer is
-	// awaited; a longer one is written beside, since a backend server may
-	// answer before it has read it.
-	inlineBody = 4 << 10
-	// maxStray is how many answers to other requests are passed over.
-	maxStray = 3
-	// maxStrayBody bounds the body of such an answer.
-	maxStrayBody = 1 << 20
+	// maxInlineBody is the largest body, in bytes, that is written before reading
+	// the response. Larger bodies are written concurrently, since a backend server
+	// may respond before it has read the body.
+	maxInlineBody = 4 << 10
+	// maxStale is the number of responses read in search of the matching one.
+	maxStale = 3
+	// maxStaleBody is the largest body of a discarded response, in bytes.
+	maxStaleBody = 1 << 20
 )
 
 var (
-	errNotStarted = errors.New("backend: the lease ran out before the first byte")
-	errStray      = errors.New("backend: too many answers to other requests")
-	errSilent     = errors.New("backend: nothing came for too long")
-	errUnproven   = errors.New("backend: the answer is not the backend server's own")
+	errLeaseExpired   = errors.New("backend: lease expired before the first byte was sent")
+	errStaleResponses = errors.New("backend: too many responses to other requests on the connection")
+	errStalled        = errors.New("backend: no data received before the timeout")
+	errNoProof        = errors.New("backend: response has no valid proof of origin")
 )
 
-// exchange is the state of one call.
-type exchange struct {
+// roundTrip is the state of one call.
+type roundTrip struct {
 	client *Client
 	call   Call
 	sink   Sink
 	conn   *conn
 	result Result
-	// written delivers the end of the writing, once.
+	// written receives one result when the request is written or has failed.
 	written chan error
-	// reuse says that the answer ended where the next one may begin.
-	reuse bool
-	// silent is set when the connection was closed for its silence.
-	silence *silence
-	// calledOff returns why the call itself has ended, nil while it has not.
-	calledOff func() error
+	// reusable is set if the connection may carry another request.
+	reusable bool
+	stall    *stallDetector
+	// cancelCause returns the cause of the call's cancellation, nil while it runs.
+	cancelCause func() error
 }
 
-func (x *exchange) run(ctx context.Context) {
-	x.calledOff = func() error { return context.Cause(ctx) }
+func (x *roundTrip) run(ctx context.Context) {
+	x.cancelCause = func() error { return context.Cause(ctx) }
 	if x.call.MayStart != nil && !x.call.MayStart() {
-		x.notStarted()
+		x.failLeaseExpired()
 		return
 	}
-	conn, err := x.client.conns.take(ctx, &x.call)
+	conn, err := x.client.pool.acquire(ctx, &x.call)
 	if err != nil {
-		x.unreached("the backend server could not be reached", err)
+		x.failUnreachable("the backend server could not be reached", err)
 		return
 	}
 	x.conn = conn
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer func() {
-		if stop() && x.reuse && x.writtenWhole() {
-			x.client.conns.put(&x.call, conn)
+		if stop() && x.reusable && x.requestWritten() {
+			x.client.pool.release(&x.call, conn)
 			return
 		}
-		x.client.conns.drop(x.call.connKey(), conn)
+		x.client.pool.discard(x.call.connKey(), conn)
 	}()
 	x.exchange()
 }
 
-func (x *exchange) notStarted() {
-	x.fail(verdict.PhaseDial, http.StatusServiceUnavailable, "lease-expired", "the lease ran out before the request was sent", errNotStarted)
+func (x *roundTrip) failLeaseExpired() {
+	x.fail(verdict.PhaseDial, http.StatusServiceUnavailable, "lease-expired", "the lease ran out before the request was sent", errLeaseExpired)
 }
 
-func (x *exchange) exchange() {
+func (x *roundTrip) exchange() {
 	if x.call.MayStart != nil && !x.call.MayStart() {
-		x.notStarted()
+		x.failLeaseExpired()
 		return
 	}
 	if err := x.send(); err != nil && !x.result.Sent {
-		x.unreached("the connection was closed before the request was sent", err)
+		x.failUnreachable("the connection was closed before the request was sent", err)
 		return
 	}
 	key := x.call.connKey()
-	h := x.client.hearings.use(key)
-	defer x.client.hearings.leave(key, h)
-	x.silence = watchSilence(x.client.opt.clock, x.conn, h, x.client.opt.idle, x.call.Failover)
-	defer x.silence.stop()
-	resp, err := x.receive()
+	activity := x.client.activity.acquire(key)
+	defer x.client.activity.release(key, activity)
+	x.stall = newStallDetector(x.client.opt.clock, x.conn, activity, x.client.opt.idleTimeout, x.call.Failover)
+	defer x.stall.stop()
+	resp, err := x.readResponse()
 	if err != nil {
-		x.failBeforeAnswer(err)
+		x.failBeforeResponse(err)
 		return
 	}
-	x.silence.heard()
+	x.stall.recordRead()
 	defer func() { _ = resp.Body.Close() }()
 	x.result.Status = resp.StatusCode
-	x.conn.learnKeepAlive(resp.Header)
-	x.answer(resp)
-	x.reuse = x.result.Err == nil && !resp.Close && x.conn.reader.Buffered() == 0
+	x.conn.applyKeepAlive(resp.Header)
+	x.forward(resp)
+	x.reusable = x.result.Err == nil && !resp.Close && x.conn.reader.Buffered() == 0
 }
 
-// send writes the request. A long body is written by a task of its own.
-func (x *exchange) send() error {
-	head := x.head()
+// send writes the request. A large body is written by another goroutine.
+func (x *roundTrip) send() error {
+	head := x.requestHead()
 	x.written = make(chan error, 1)
-	if len(x.call.Body) <= inlineBody {
-		err := x.write(append(head, x.call.Body...))
+	if len(x.call.Body) <= maxInlineBody {
+		err := x.writeStart(append(head, x.call.Body...))
 		x.written <- err
 		return err
 	}
-	if err := x.write(head); err != nil {
+	if err := x.writeStart(head); err != nil {
 		x.written <- err
 		return err
 	}
@@ -121,17 +120,17 @@
 	return nil
 }
 
-// write writes the first bytes. Only if the network took none of them is the
-// request known not to have been sent.
-func (x *exchange) write(p []byte) error {
+// writeStart writes the first bytes and records whether any were sent. Only if none
+// were is it certain that the request did not run.
+func (x *roundTrip) writeStart(p []byte) error {
 	n, err := x.conn.Write(p)
 	x.result.Sent = n > 0
 	return err
 }
 
-// writtenWhole reports whether the whole request was written. It does not
-// wait: after an early answer, the rest of the body is due on the connection.
-func (x *exchange) writtenWhole() bool {
+// requestWritten reports whether the whole request has been written. It does not
+// block: after an early response, the body may still be in transit.
+func (x *roundTrip) requestWritten() bool {
 	select {
 	case err := <-x.written:
 		return err == nil
@@ -140,8 +139,8 @@
 	}
 }
 
-// head returns the request's first line and header.
-func (x *exchange) head() []byte {
+// requestHead returns the request line and the headers.
+func (x *roundTrip) requestHead() []byte {
 	h := x.call.Header.Clone()
 	if h == nil {
 		h = http.Header{}
@@ -164,28 +163,28 @@
 	return buf.Bytes()
 }
 
-func (x *exchange) setHeaders(h http.Header) {
-	d := &x.client.opt.dialect
-	set(h, d.RequestID, x.call.RequestID)
+func (x *roundTrip) setHeaders(h http.Header) {
+	names := &x.client.opt.headers
+	set(h, names.RequestID, x.call.RequestID)
 	if x.call.MayStream && !x.call.Opaque {
-		set(h, d.Priority, formatPriority(x.call.Priority))
+		set(h, names.Priority, formatPriority(x.call.Priority))
 	}
-	setOrDrop(h, d.Account, x.call.Account)
-	setOrDrop(h, d.Instance, x.call.Instance)
-	setOrDrop(h, d.CopyPrefixFrom, x.call.CopyPrefixFrom)
+	setOrDelete(h, names.Account, x.call.Account)
+	setOrDelete(h, names.Instance, x.call.Instance)
+	setOrDelete(h, names.CopyPrefixFrom, x.call.CopyPrefixFrom)
 	if !x.call.Deadline.IsZero() {
-		set(h, d.Deadline, strconv.FormatInt(max(1, x.client.opt.clock.Until(x.call.Deadline).Milliseconds()), 10))
+		set(h, names.Deadline, strconv.FormatInt(max(1, x.client.opt.clock.Until(x.call.Deadline).Milliseconds()), 10))
 	}
 	if x.call.LastEvent > 0 {
-		set(h, d.LastEvent, strconv.FormatUint(x.call.LastEvent, 10))
+		set(h, names.LastEvent, strconv.FormatUint(x.call.LastEvent, 10))
 	}
 }
 
-// receive reads the answer's header. Late answers to other requests may come
-// first; the id tells.
-func (x *exchange) receive() (*http.Response, error) {
+// readResponse reads the header of the response. On a reused connection it discards
+// late responses to earlier requests, which it recognizes by their request id.
+func (x *roundTrip) readResponse() (*http.Response, error) {
 	req := &http.Request{Method: x.call.Method}
-	for range maxStray {
+	for range maxStale {
 		resp, err := http.ReadResponse(x.conn.reader, req)
 		if err != nil {
 			return nil, err
@@ -193,60 +192,59 @@
 		if resp.StatusCode < http.StatusOK && resp.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		id := resp.Header.Get(x.client.opt.dialect.RequestID)
-		if id == "" || id == x.call.RequestID || !x.conn.kept {
+		id := resp.Header.Get(x.client.opt.headers.RequestID)
+		if id == "" || id == x.call.RequestID || !x.conn.reused {
 			return resp, nil
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBody))
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStaleBody))
 		_ = resp.Body.Close()
-		if err != nil || n == maxStrayBody || resp.Close {
-			return nil, errors.Join(errStray, err)
+		if err != nil || n == maxStaleBody || resp.Close {
+			return nil, errors.Join(errStaleResponses, err)
 		}
 	}
-	return nil, errStray
+	return nil, errStaleResponses
 }
 
-// unreached notes that no byte could be sent.
-func (x *exchange) unreached(detail string, err error) {
-	if x.wasCalledOff(verdict.PhaseDial, err) {
+func (x *roundTrip) failUnreachable(detail string, err error) {
+	if x.failIfCanceled(verdict.PhaseDial, err) {
 		return
 	}
 	x.result.Unreachable = true
 	x.fail(verdict.PhaseDial, http.StatusBadGateway, "backend-unreachable", detail, err)
 }
 
-// failBeforeAnswer finds the verdict of a call that got no response header.
-func (x *exchange) failBeforeAnswer(err error) {
-	if x.silent() || x.wasCalledOff(verdict.PhaseHeader, err) {
+func (x *roundTrip) failBeforeResponse(err error) {
+	if x.recordStall() || x.failIfCanceled(verdict.PhaseHeader, err) {
 		return
 	}
 	x.fail(verdict.PhaseHeader, http.StatusBadGateway, "backend-broke", "the connection broke before the backend server answered", err)
 }
 
-// wasCalledOff notes that the caller left or the deadline passed, if that is so: the
-// connection is closed then, which says nothing of the backend server.
-func (x *exchange) wasCalledOff(phase verdict.Phase, err error) bool {
-	switch why := x.calledOff(); {
-	case why == nil:
+// failIfCanceled fails the call if the client disconnected or the deadline passed, and
+// reports whether it did. The error is not the backend server's fault then, since
+// cancellation closes the connection.
+func (x *roundTrip) failIfCanceled(phase verdict.Phase, err error) bool {
+	switch cause := x.cancelCause(); {
+	case cause == nil:
 		return false
-	case errors.Is(why, context.DeadlineExceeded):
+	case errors.Is(cause, context.DeadlineExceeded):
 		x.fail(phase, http.StatusGatewayTimeout, "deadline", "the deadline passed before the backend server's answer ended", err)
 	default:
-		x.fail(phase, statusClientGone, "caller-gone", "the caller went away", err)
+		x.fail(phase, statusClientClosed, "caller-gone", "the caller went away", err)
 	}
 	return true
 }
 
-// silent notes that the connection was closed for its silence; it reports
-// whether that was to try another backend server.
-func (x *exchange) silent() bool {
-	x.result.Stalled = x.silence.fired.Load()
-	if x.silence.left.Load() {
-		x.fail(verdict.PhaseStream, http.StatusBadGateway, "backend-silent", "the backend server fell silent", errSilent)
+// recordStall records whether the connection timed out. It fails the call and returns
+// true if the request is to move to another backend server.
+func (x *roundTrip) recordStall() bool {
+	x.result.Stalled = x.stall.timedOut.Load()
+	if x.stall.failedOver.Load() {
+		x.fail(verdict.PhaseStream, http.StatusBadGateway, "backend-silent", "the backend server fell silent", errStalled)
 	}
-	return x.silence.left.Load()
+	return x.stall.failedOver.Load()
 }
 
-func (x *exchange) fail(phase verdict.Phase, status int, code, detail string, err error) {
+func (x *roundTrip) fail(phase verdict.Phase, status int, code, detail string, err error) {
 	x.result.Err = verdict.New(phase, status, code, detail).Wrap(err)
 }
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -11,16 +11,16 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// loadTimeout bounds one read of a load.
+// loadTimeout limits each request for a load report.
 const loadTimeout = time.Second
 
-// LoadReader reads the load that backend servers report.
+// LoadReader reads the load reported by backend servers.
 type LoadReader struct {
 	dialer Dialer
 	http   *http.Client
 }
 
-// NewLoadReader returns a reader that dials with d.
+// NewLoadReader returns a LoadReader that dials with d.
 func NewLoadReader(d Dialer) *LoadReader {
 	return &LoadReader{dialer: d, http: &http.Client{
 		Transport: &http.Transport{DialContext: d.DialContext},
@@ -28,16 +28,16 @@
 	}}
 }
 
-// loadReport is an engine's answer to GET /load.
+// loadReport is the response of an engine to GET /load.
 type loadReport struct {
 	InFlight int `json:"in_flight"`
 }
 
-// Load returns how many requests run at a backend server as it last reported.
-// A plain service reports nothing; for it, Load only tells whether it listens.
+// Load returns the number of requests in flight at a backend server. A plain service
+// has no load report: Load returns 0 if the service accepts connections.
 func (l *LoadReader) Load(ctx context.Context, b table.Backend) (int, error) {
 	if b.Kind == table.Service {
-		return 0, l.listens(ctx, b.Address)
+		return 0, l.checkListening(ctx, b.Address)
 	}
 	req, err := sling.New().Get("http://" + b.Address + "/load").Request()
 	if err != nil {
@@ -54,7 +54,7 @@
 	return report.InFlight, nil
 }
 
-func (l *LoadReader) listens(ctx context.Context, address string) error {
+func (l *LoadReader) checkListening(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	conn, err := l.dialer.DialContext(ctx, "tcp", address)
--- a/internal/backend/numbered.go
+++ b/internal/backend/numbered.go
@@ -9,57 +9,57 @@
 	"strconv"
 )
 
-// eventReader reads the events of one answer.
+// eventReader reads the events of one response.
 type eventReader interface {
-	// Next returns the bytes of the next event with its blank line, valid
-	// until the next call, or io.EOF where the answer ends between events.
+	// Next returns the next event including its blank line. The bytes are valid until
+	// the next call. It returns io.EOF if the response ends between events.
 	Next() ([]byte, error)
-	// Tokens returns how many tokens or events were read.
+	// Tokens returns the number of tokens or events read so far.
 	Tokens() int64
 	// LastEvent returns the number of the last event, 0 if it has none.
 	LastEvent() uint64
-	// Done reports whether the answer may end here.
+	// Done reports whether the response is complete if it ends here.
 	Done() bool
-	// Buffered reports whether more bytes have already come.
+	// Buffered reports whether more bytes can be read without waiting.
 	Buffered() bool
 }
 
-// ErrOutOfOrder says that an event's number does not follow the one before.
-var ErrOutOfOrder = errors.New("backend: the stream's events are not in order")
+// ErrOutOfOrder means that the event numbers have a gap or a repetition.
+var ErrOutOfOrder = errors.New("backend: stream events out of order")
 
-var idField = []byte("id:")
+var idPrefix = []byte("id:")
 
-// numbered reads events whose data is of no concern, but whose numbers must
-// rise by one.
-type numbered struct {
+// numberedReader reads events without parsing their data. It checks that the event
+// numbers are consecutive.
+type numberedReader struct {
 	r     *bufio.Reader
 	event bytes.Buffer
 	last  uint64
 	count int64
 }
 
-// newNumbered returns a reader of events that follow the one numbered last.
-func newNumbered(r io.Reader, last uint64) *numbered {
-	return &numbered{r: bufio.NewReaderSize(r, readSize), last: last}
+// newNumberedReader returns a reader that expects the event after the given last one.
+func newNumberedReader(r io.Reader, last uint64) *numberedReader {
+	return &numberedReader{r: bufio.NewReaderSize(r, eventBufSize), last: last}
 }
 
 // Next implements eventReader.
-func (e *numbered) Next() ([]byte, error) {
+func (e *numberedReader) Next() ([]byte, error) {
 	e.event.Reset()
 	id := uint64(0)
 	for {
 		start := e.event.Len()
 		if err := readLine(e.r, &e.event); err != nil {
-			return nil, midEvent(err, &e.event)
+			return nil, eofToUnexpected(err, &e.event)
 		}
 		line := bytes.TrimRight(e.event.Bytes()[start:], "\r\n")
 		if len(line) == 0 {
 			if e.event.Len() <= 2 {
 				continue
 			}
-			return e.event.Bytes(), e.take(id)
+			return e.event.Bytes(), e.accept(id)
 		}
-		if text, ok := bytes.CutPrefix(line, idField); ok {
+		if text, ok := bytes.CutPrefix(line, idPrefix); ok {
 			n, err := strconv.ParseUint(string(bytes.TrimSpace(text)), 10, 64)
 			if err != nil {
 				return nil, ErrMalformed
@@ -69,7 +69,7 @@
 	}
 }
 
-func (e *numbered) take(id uint64) error {
+func (e *numberedReader) accept(id uint64) error {
 	if id != 0 {
 		if id != e.last+1 {
 			return fmt.Errorf("%w: %d after %d", ErrOutOfOrder, id, e.last)
@@ -81,23 +81,23 @@
 }
 
 // Tokens implements eventReader.
-func (e *numbered) Tokens() int64 { return e.count }
+func (e *numberedReader) Tokens() int64 { return e.count }
 
 // LastEvent implements eventReader.
-func (e *numbered) LastEvent() uint64 { return e.last }
+func (e *numberedReader) LastEvent() uint64 { return e.last }
 
-// Done implements eventReader: the end of the answer is the stream's.
-func (e *numbered) Done() bool { return true }
+// Done implements eventReader. These streams have no end marker.
+func (e *numberedReader) Done() bool { return true }
 
 // Buffered implements eventReader.
-func (e *numbered) Buffered() bool { return e.r.Buffered() > 0 }
+func (e *numberedReader) Buffered() bool { return e.r.Buffered() > 0 }
 
 // readLine appends one line to the event.
 func readLine(r *bufio.Reader, event *bytes.Buffer) error {
 	for {
 		part, err := r.ReadSlice('\n')
 		event.Write(part)
-		if event.Len() > maxEvent {
+		if event.Len() > maxEventBytes {
 			return ErrEventTooLarge
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
@@ -106,8 +106,8 @@
 	}
 }
 
-// midEvent turns an end within an event into an unexpected one.
-func midEvent(err error, event *bytes.Buffer) error {
+// eofToUnexpected replaces io.EOF by io.ErrUnexpectedEOF within an event.
+func eofToUnexpected(err error, event *bytes.Buffer) error {
 	if errors.Is(err, io.EOF) && len(bytes.TrimSpace(event.Bytes())) > 0 {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/backend/silence_test.go
+++ b/internal/backend/stall_test.go
@@ -33,9 +33,9 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
-			s := &silence{patience: tc.patience, hearing: &hearing{since: now.Add(-tc.all * time.Millisecond)}}
-			s.began.Store(tc.began)
-			if got := s.mayLeave(tc.own*time.Millisecond, now); got != tc.want {
+			s := &stallDetector{failover: tc.patience, activity: &serverActivity{start: now.Add(-tc.all * time.Millisecond)}}
+			s.responding.Store(tc.began)
+			if got := s.mayFailOver(tc.own*time.Millisecond, now); got != tc.want {
 				t.Errorf("may leave: %v", got)
 			}
 		})
@@ -45,17 +45,17 @@
 // TestHearingsAreForgotten looks that nothing is kept of backend servers with
 // which there is no exchange.
 func TestHearingsAreForgotten(t *testing.T) {
-	hs := hearings{clock: clock.System(), by: map[string]*hearing{}}
-	a, b := hs.use("x"), hs.use("x")
+	hs := activityTracker{clock: clock.System(), byServer: map[string]*serverActivity{}}
+	a, b := hs.acquire("x"), hs.acquire("x")
 	if a != b {
 		t.Error("two exchanges with one backend server do not share what is heard")
 	}
-	hs.leave("x", a)
-	if len(hs.by) != 1 {
+	hs.release("x", a)
+	if len(hs.byServer) != 1 {
 		t.Error("forgotten while in use")
 	}
-	hs.leave("x", b)
-	if len(hs.by) != 0 {
+	hs.release("x", b)
+	if len(hs.byServer) != 0 {
 		t.Error("kept for ever")
 	}
 }
