--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -16,21 +16,21 @@
 
 // keepPace learns from how late this process heard of something.
 func (s *state) keepPace(late time.Duration) {
-	s.pace.Heard(s.now, late)
-	s.step(admit.Late{By: s.pace.Late()})
+	s.pace.ObserveDelay(s.now, late)
+	s.step(admit.ProcessingDelay{Delay: s.pace.Delay()})
 	s.seeWhetherOverloaded()
 }
 
 // notePace tells the callers' tasks, and operators, how well this router keeps up.
 func (s *state) notePace() {
-	p := &Pace{Part: s.pace.Part(), Late: s.pace.Late(), Rate: s.pace.Rate()}
+	p := &LoadStats{AdmitRatio: s.pace.AdmittedFraction(), Lag: s.pace.Delay(), Rate: s.pace.Rate()}
 	s.d.shared.pace.Store(p)
-	if p.Part < 1 {
+	if p.AdmitRatio < 1 {
 		s.limitedAt = s.now
 	}
 	limited := s.limitedAt > 0 && s.now-s.limitedAt < limitedFor
 	if s.d.shared.hurried.Swap(limited) != limited {
-		s.d.opt.log.Warn("router_pace", "limited", limited, "late_ms", p.Late.Milliseconds(), "can_per_s", int(p.Rate))
+		s.d.opt.log.Warn("router_pace", "limited", limited, "late_ms", p.Lag.Milliseconds(), "can_per_s", int(p.Rate))
 	}
 }
 
@@ -43,47 +43,48 @@
 // for each that is refused.
 const refusingFrom = 20
 
-// Refusing implements front.Scheduler.
-func (d *Dispatcher) Refusing() bool { return d.Hurried() || d.shared.refusing.Load() }
+// Shedding implements front.Scheduler.
+func (d *Dispatcher) Shedding() bool { return d.Saturated() || d.shared.refusing.Load() }
 
 // seeWhetherOverloaded tells balancers to send new connections elsewhere while
 // this router can work on a small part of its requests only.
 func (s *state) seeWhetherOverloaded() {
 	overloaded := s.d.shared.overloaded.Load()
 	switch {
-	case s.pace.Part() < overloadedPart:
+	case s.pace.AdmittedFraction() < overloadedPart:
 		s.overloadedAt = s.now
 		if !overloaded {
 			s.d.shared.overloaded.Store(true)
-			s.d.opt.log.Warn("router_overloaded", "late_ms", s.pace.Late().Milliseconds())
+			s.d.opt.log.Warn("router_overloaded", "late_ms", s.pace.Delay().Milliseconds())
 		}
-	case overloaded && s.pace.Part() == 1 && s.now-s.overloadedAt >= overloadedFor:
+	case overloaded && s.pace.AdmittedFraction() == 1 && s.now-s.overloadedAt >= overloadedFor:
 		s.d.shared.overloaded.Store(false)
 		s.d.opt.log.Info("router_recovered")
 	}
 }
 
-// Hurried reports whether this router could not work on all of its requests a moment ago.
-func (d *Dispatcher) Hurried() bool { return d.shared.hurried.Load() }
+// Saturated reports whether this router recently lacked processor time for some of its requests.
+func (d *Dispatcher) Saturated() bool { return d.shared.hurried.Load() }
 
-// Pace is how well a router keeps up with its requests.
-type Pace struct {
-	// Part is the part of the requests that it can work on.
-	Part float64
-	// Late is how late it hears of what comes to its sockets.
-	Late time.Duration
-	// Rate is how many requests it can work on a second while it refuses none.
+// LoadStats describes how well a router keeps up with its requests.
+type LoadStats struct {
+	// AdmitRatio is the fraction of requests that the router has processor time for.
+	AdmitRatio float64
+	// Lag is the delay between data arriving at a socket and the process reading it.
+	Lag time.Duration
+	// Rate is the number of requests per second that the router can process when it
+	// refuses none.
 	Rate float64
-	// Screened counts the requests that were refused unseen since the start.
-	Screened int64
+	// RefusedEarly counts the requests refused by admission control since the start.
+	RefusedEarly int64
 }
 
-// Pace returns how well this router keeps up.
-func (d *Dispatcher) Pace() Pace {
-	p := Pace{Part: 1}
+// LoadStats returns the current load statistics.
+func (d *Dispatcher) LoadStats() LoadStats {
+	p := LoadStats{AdmitRatio: 1}
 	if last := d.shared.pace.Load(); last != nil {
 		p = *last
 	}
-	p.Screened = d.screen.count.Load()
+	p.RefusedEarly = d.screen.count.Load()
 	return p
 }
