--- a/internal/backend/batch_test.go
+++ b/internal/backend/batch_test.go
@@ -12,17 +12,16 @@
 	"github.com/yarrowmast/yarrowmast/internal/backend"
 )
 
-// TestGatheredEventsArePassedOnTogether has a backend server send three more events
-// while the router gathers: the first goes on by itself, the others as one, and none
-// is lost.
-func TestGatheredEventsArePassedOnTogether(t *testing.T) {
-	gathering, sent := make(chan struct{}), make(chan struct{})
+// TestBatchedEvents checks that events that arrive during the batch delay are sent to the
+// client together, and that none is lost.
+func TestBatchedEvents(t *testing.T) {
+	waiting, sent := make(chan struct{}), make(chan struct{})
 	s := serve(t, func(s *server, conn net.Conn) {
 		if !s.readRequest(conn) {
 			return
 		}
-		_, _ = io.WriteString(conn, unframed+numbered(1, 1))
-		<-gathering
+		_, _ = io.WriteString(conn, unframedHead+numbered(1, 1))
+		<-waiting
 		_, _ = io.WriteString(conn, numbered(2, 4))
 		close(sent)
 	})
@@ -30,22 +29,22 @@
 	calls := 0
 	call.BatchDelay = func() time.Duration {
 		if calls++; calls == 1 {
-			close(gathering)
+			close(waiting)
 			<-sent
 		}
 		return time.Millisecond
 	}
-	c := backend.New(backend.WithHeaders(testDialect()))
+	c := backend.New(backend.WithHeaders(testHeaders()))
 	defer c.Close()
 	sink := &recorder{}
 	result := c.Do(context.Background(), call, sink)
 	if result.Err != nil || result.LastEvent != 4 {
-		t.Errorf("ended with %v after event %d", result.Err, result.LastEvent)
+		t.Errorf("call ended with %v after event %d", result.Err, result.LastEvent)
 	}
 	if diff := cmp.Diff(numbered(1, 4), sink.body.String()); diff != "" {
-		t.Errorf("passed on (-want +got):\n%s", diff)
+		t.Errorf("forwarded (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(backend.Stats{Events: 4, Flushes: 2}, c.Stats()); diff != "" {
-		t.Errorf("counted (-want +got):\n%s", diff)
+		t.Errorf("stats (-want +got):\n%s", diff)
 	}
 }
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -19,33 +19,34 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// recorder is a caller that remembers what it got.
+// recorder is a Sink that records the response.
 type recorder struct {
 	status  int
 	header  http.Header
 	body    bytes.Buffer
 	trailer http.Header
-	gone    bool
+	// disconnected makes writes fail.
+	disconnected bool
 }
 
 func (r *recorder) Begin(status int, h http.Header) { r.status, r.header = status, h }
 func (r *recorder) Flush() error                    { return nil }
 func (r *recorder) Trailer(h http.Header)           { r.trailer = h }
 func (r *recorder) Write(p []byte) (int, error) {
-	if r.gone {
-		return 0, errors.New("caller gone")
+	if r.disconnected {
+		return 0, errors.New("client disconnected")
 	}
 	return r.body.Write(p)
 }
 
-// server answers each connection with a function that may fail at any phase;
-// ran counts the requests whose body arrived whole.
+// server handles each connection with a function.
 type server struct {
-	ln  net.Listener
+	ln net.Listener
+	// ran counts the requests that were read completely.
 	ran atomic.Int64
 }
 
-func serve(t *testing.T, answer func(s *server, conn net.Conn)) *server {
+func serve(t *testing.T, handle func(s *server, conn net.Conn)) *server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,14 +62,14 @@
 			}
 			go func() {
 				defer func() { _ = conn.Close() }()
-				answer(s, conn)
+				handle(s, conn)
 			}()
 		}
 	}()
 	return s
 }
 
-// readRequest reads a request whole and counts it as run.
+// readRequest reads a complete request, counts it and reports whether it succeeded.
 func (s *server) readRequest(conn net.Conn) bool {
 	req, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
@@ -81,14 +82,14 @@
 	return true
 }
 
-const eventHeader = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Request-Id: req-1\r\nConnection: close\r\n\r\n"
+const completionHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Request-Id: req-1\r\nConnection: close\r\n\r\n"
 
 func event(id string) string {
 	return fmt.Sprintf("data: {\"id\":%q,\"choices\":[{\"text\":\"a\"}]}\n\n", id)
 }
 
-// write answers a whole request with raw text.
-func write(text string) func(*server, net.Conn) {
+// respond returns a handler that reads a request and writes raw bytes.
+func respond(text string) func(*server, net.Conn) {
 	return func(s *server, conn net.Conn) {
 		if s.readRequest(conn) {
 			_, _ = io.WriteString(conn, text)
@@ -96,11 +97,12 @@
 	}
 }
 
+// readBytes returns a handler that closes the connection after n bytes.
 func readBytes(n int) func(*server, net.Conn) {
 	return func(_ *server, conn net.Conn) { _, _ = io.ReadFull(conn, make([]byte, n)) }
 }
 
-type want struct {
+type callOutcome struct {
 	Verdict verdict.Verdict
 	Code    string
 	Sent    bool
@@ -108,40 +110,42 @@
 	Tokens  int64
 }
 
+// TestVerdictAtEachPhase guards against a verdict that claims too much about a request that
+// failed at some point of the exchange.
 func TestVerdictAtEachPhase(t *testing.T) {
-	whole := eventHeader + event("x") + event("x") + "data: [DONE]\n\n"
+	whole := completionHead + event("x") + event("x") + "data: [DONE]\n\n"
 	tests := map[string]struct {
-		answer func(*server, net.Conn)
-		want   want
+		handle func(*server, net.Conn)
+		want   callOutcome
 	}{
-		"whole answer":            {write(whole), want{Verdict: verdict.Ran, Sent: true, Began: true, Tokens: 2}},
-		"header half read":        {readBytes(20), want{Verdict: verdict.MayHaveRun, Code: "backend-broke", Sent: true}},
-		"body half read":          {readBytes(5000), want{Verdict: verdict.MayHaveRun, Code: "backend-broke", Sent: true}},
-		"no response":             {write(""), want{Verdict: verdict.MayHaveRun, Code: "backend-broke", Sent: true}},
-		"response header cut":     {write("HTTP/1.1 200 OK\r\nConte"), want{Verdict: verdict.MayHaveRun, Code: "backend-broke", Sent: true}},
-		"cut before any event":    {write(eventHeader), want{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true}},
-		"cut mid-stream":          {write(eventHeader + event("x")), want{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true, Tokens: 1}},
-		"cut inside an event":     {write(eventHeader + "data: {\"id\":\"x\""), want{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true}},
-		"cut before the end mark": {write(eventHeader + event("x") + event("x")), want{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true, Tokens: 2}},
-		"garbage":                 {write(eventHeader + event("x") + "\x00\x01\x02\n\n"), want{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true, Tokens: 1}},
-		"another's chunk":         {write(eventHeader + event("x") + event("y")), want{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true, Tokens: 1}},
-		"another's answer":        {write(strings.Replace(whole, "req-1", "req-2", 1)), want{Verdict: verdict.MayHaveRun, Code: "crossed-answer", Sent: true}},
-		"two answers":             {write(whole + event("z")), want{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true, Tokens: 2}},
-		"says it did not run": {write("HTTP/1.1 503 Busy\r\nX-Not-Run: true\r\nContent-Length: 0\r\n\r\n"),
-			want{Verdict: verdict.NotRun, Code: "backend-refused", Sent: true}},
-		"fails by itself": {write("HTTP/1.1 500 Oops\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}"),
-			want{Verdict: verdict.Ran, Sent: true, Began: true}},
+		"complete stream":             {respond(whole), callOutcome{Verdict: verdict.Ran, Sent: true, Began: true, Tokens: 2}},
+		"header partly read":          {readBytes(20), callOutcome{Verdict: verdict.MayHaveRun, Code: "backend-broke", Sent: true}},
+		"body partly read":            {readBytes(5000), callOutcome{Verdict: verdict.MayHaveRun, Code: "backend-broke", Sent: true}},
+		"no response":                 {respond(""), callOutcome{Verdict: verdict.MayHaveRun, Code: "backend-broke", Sent: true}},
+		"response header cut":         {respond("HTTP/1.1 200 OK\r\nConte"), callOutcome{Verdict: verdict.MayHaveRun, Code: "backend-broke", Sent: true}},
+		"cut before any event":        {respond(completionHead), callOutcome{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true}},
+		"cut between events":          {respond(completionHead + event("x")), callOutcome{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true, Tokens: 1}},
+		"cut within an event":         {respond(completionHead + "data: {\"id\":\"x\""), callOutcome{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true}},
+		"cut before the end marker":   {respond(completionHead + event("x") + event("x")), callOutcome{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true, Tokens: 2}},
+		"malformed event":             {respond(completionHead + event("x") + "\x00\x01\x02\n\n"), callOutcome{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true, Tokens: 1}},
+		"chunk of another response":   {respond(completionHead + event("x") + event("y")), callOutcome{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true, Tokens: 1}},
+		"response to another request": {respond(strings.Replace(whole, "req-1", "req-2", 1)), callOutcome{Verdict: verdict.MayHaveRun, Code: "crossed-answer", Sent: true}},
+		"data after the end marker":   {respond(whole + event("z")), callOutcome{Verdict: verdict.MayHaveRun, Code: "answer-cut", Sent: true, Began: true, Tokens: 2}},
+		"declares that it did not run": {respond("HTTP/1.1 503 Busy\r\nX-Not-Run: true\r\nContent-Length: 0\r\n\r\n"),
+			callOutcome{Verdict: verdict.NotRun, Code: "backend-refused", Sent: true}},
+		"server error": {respond("HTTP/1.1 500 Oops\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}"),
+			callOutcome{Verdict: verdict.Ran, Sent: true, Began: true}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, tc.answer)
+			s := serve(t, tc.handle)
 			call := newCall(s.ln.Addr().String())
 			got, served := do(call, &recorder{})
-			if diff := cmp.Diff(tc.want, summary(got, served)); diff != "" {
+			if diff := cmp.Diff(tc.want, outcomeOf(got, served)); diff != "" {
 				t.Errorf("outcome (-want +got):\n%s", diff)
 			}
 			if got.Err != nil && got.Err.Verdict == verdict.NotRun && tc.want.Code != "backend-refused" && s.ran.Load() > 0 {
-				t.Error("the request ran and is said not to have run")
+				t.Error("verdict is not-run for a request that ran")
 			}
 		})
 	}
@@ -161,20 +165,20 @@
 	return r, call.Served.Load()
 }
 
-func summary(r backend.Result, tokens int64) want {
-	w := want{Verdict: verdict.Ran, Sent: r.Sent, Began: r.Began, Tokens: tokens}
+func outcomeOf(r backend.Result, tokens int64) callOutcome {
+	o := callOutcome{Verdict: verdict.Ran, Sent: r.Sent, Began: r.Began, Tokens: tokens}
 	if r.Err != nil {
-		w.Verdict, w.Code = r.Err.Verdict, r.Err.Code
+		o.Verdict, o.Code = r.Err.Verdict, r.Err.Code
 	}
-	return w
+	return o
 }
 
-func TestNothingIsSentWithoutALease(t *testing.T) {
-	s := serve(t, write(eventHeader))
+func TestExpiredLeaseSendsNothing(t *testing.T) {
+	s := serve(t, respond(completionHead))
 	call := newCall(s.ln.Addr().String())
 	call.MayStart = func() bool { return false }
 	got, tokens := do(call, &recorder{})
-	if diff := cmp.Diff(want{Verdict: verdict.NotRun, Code: "lease-expired"}, summary(got, tokens)); diff != "" {
+	if diff := cmp.Diff(callOutcome{Verdict: verdict.NotRun, Code: "lease-expired"}, outcomeOf(got, tokens)); diff != "" {
 		t.Errorf("outcome (-want +got):\n%s", diff)
 	}
 	if s.ran.Load() != 0 {
@@ -182,7 +186,7 @@
 	}
 }
 
-func TestUnreachableIsNotRun(t *testing.T) {
+func TestUnreachableServerMeansNotRun(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -190,16 +194,17 @@
 	address := ln.Addr().String()
 	_ = ln.Close()
 	got, tokens := do(newCall(address), &recorder{})
-	if diff := cmp.Diff(want{Verdict: verdict.NotRun, Code: "backend-unreachable"}, summary(got, tokens)); diff != "" || !got.Unreachable {
-		t.Errorf("outcome (-want +got), failed %v:\n%s", got.Unreachable, diff)
+	if diff := cmp.Diff(callOutcome{Verdict: verdict.NotRun, Code: "backend-unreachable"}, outcomeOf(got, tokens)); diff != "" || !got.Unreachable {
+		t.Errorf("outcome (-want +got), unreachable %v:\n%s", got.Unreachable, diff)
 	}
 }
 
-func TestAnswerPassesFaithfully(t *testing.T) {
-	text := eventHeader[:len(eventHeader)-4] + "\r\nX-Extra: kept\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n"
+// TestResponseIsForwardedUnchanged checks the header, the body and the trailer.
+func TestResponseIsForwardedUnchanged(t *testing.T) {
+	text := completionHead[:len(completionHead)-4] + "\r\nX-Extra: kept\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n"
 	body := ": comment\n\nevent: note\nid: 7\n" + event("x") + "data: [DONE]\n\n"
 	text += fmt.Sprintf("%x\r\n%s\r\n0\r\nX-End: yes\r\n\r\n", len(body), body)
-	s := serve(t, write(text))
+	s := serve(t, respond(text))
 	sink := &recorder{}
 	if r, _ := do(newCall(s.ln.Addr().String()), sink); r.Err != nil {
 		t.Fatal(r.Err)
@@ -212,11 +217,11 @@
 	}
 }
 
-func TestCallerGoneEndsTheCall(t *testing.T) {
-	s := serve(t, write(eventHeader+event("x")+event("x")+"data: [DONE]\n\n"))
-	got, _ := do(newCall(s.ln.Addr().String()), &recorder{gone: true})
+func TestClientDisconnectEndsCall(t *testing.T) {
+	s := serve(t, respond(completionHead+event("x")+event("x")+"data: [DONE]\n\n"))
+	got, _ := do(newCall(s.ln.Addr().String()), &recorder{disconnected: true})
 	if got.Err == nil || got.Err.Code != "caller-gone" {
-		t.Errorf("result %v", got.Err)
+		t.Errorf("call ended with %v", got.Err)
 	}
 }
 
@@ -225,17 +230,17 @@
 	f.Add([]byte(": c\n\nevent: e\ndata: {}\n\n"))
 	f.Add([]byte("data: {\"id\":\"a\"}\n\ndata: {\"id\":\"b\"}\n\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		e := backend.NewCompletionReader(bytes.NewReader(in))
+		reader := backend.NewCompletionReader(bytes.NewReader(in))
 		var out []byte
 		for {
-			ev, err := e.Next()
+			event, err := reader.Next()
 			if err != nil {
 				break
 			}
-			out = append(out, ev...)
+			out = append(out, event...)
 		}
 		if !bytes.HasPrefix(in, out) && !bytes.Contains(in, bytes.TrimLeft(out, "\r\n")) {
-			t.Errorf("bytes were changed: %q became %q", in, out)
+			t.Errorf("events of %q read as %q", in, out)
 		}
 	})
 }
--- a/internal/backend/connection_limit_test.go
+++ b/internal/backend/connection_limit_test.go
@@ -11,12 +11,11 @@
 	"github.com/yarrowmast/yarrowmast/internal/backend"
 )
 
-// bounded is a backend server that takes so many connections from all routers and
-// resets the rest. It answers the requests of a group together, so that each of them
-// needs a connection of its own.
-type bounded struct {
-	ln   net.Listener
-	most int
+// limitedServer resets connections beyond a limit. It responds to the requests of a group
+// together, so that each needs its own connection.
+type limitedServer struct {
+	ln             net.Listener
+	maxConnections int
 
 	mu           sync.Mutex
 	open, resets int
@@ -24,13 +23,13 @@
 	group        int
 }
 
-func serveBounded(t *testing.T, most, group int) *bounded {
+func startLimitedServer(t *testing.T, maxConnections, group int) *limitedServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bounded{ln: ln, most: most, group: group}
+	s := &limitedServer{ln: ln, maxConnections: maxConnections, group: group}
 	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for {
@@ -38,25 +37,25 @@
 			if err != nil {
 				return
 			}
-			go b.serve(conn)
+			go s.serve(conn)
 		}
 	}()
-	return b
+	return s
 }
 
-func (b *bounded) serve(conn net.Conn) {
-	b.mu.Lock()
-	b.open++
-	full := b.open > b.most
+func (s *limitedServer) serve(conn net.Conn) {
+	s.mu.Lock()
+	s.open++
+	full := s.open > s.maxConnections
 	if full {
-		b.resets++
+		s.resets++
 	}
-	b.mu.Unlock()
+	s.mu.Unlock()
 	defer func() {
 		_ = conn.Close()
-		b.mu.Lock()
-		b.open--
-		b.mu.Unlock()
+		s.mu.Lock()
+		s.open--
+		s.mu.Unlock()
 	}()
 	if full {
 		_ = conn.(*net.TCPConn).SetLinger(0)
@@ -67,45 +66,43 @@
 		if _, err := http.ReadRequest(reader); err != nil {
 			return
 		}
-		b.mu.Lock()
-		b.waiting = append(b.waiting, conn)
-		if len(b.waiting) == b.group {
-			for _, c := range b.waiting {
+		s.mu.Lock()
+		s.waiting = append(s.waiting, conn)
+		if len(s.waiting) == s.group {
+			for _, c := range s.waiting {
 				_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nX-Id: req-1\r\nX-Proof: p\r\nContent-Length: 2\r\n\r\nok"))
 			}
-			b.waiting = nil
+			s.waiting = nil
 		}
-		b.mu.Unlock()
+		s.mu.Unlock()
 	}
 }
 
-// TestRoutersShareConnections has 62 routers send requests in turn to a backend server
-// that takes 100 connections from all of them, five requests at once each: those that
-// rest make room within each router's part, so that none is reset. With a bound of 32
-// resting connections a router and no part, they are reset from the 21st router on.
+// TestRoutersShareConnections checks that idle connections do not use up the connection limit
+// of a backend server that many routers use in turn.
 func TestRoutersShareConnections(t *testing.T) {
-	const routers, atOnce, rounds = 62, 5, 3
-	b := serveBounded(t, 100, atOnce)
+	const routers, concurrent, rounds = 62, 5, 3
+	s := startLimitedServer(t, 100, concurrent)
 	clients := make([]*backend.Client, routers)
 	for i := range clients {
-		clients[i] = backend.New(backend.WithHeaders(testDialect()))
+		clients[i] = backend.New(backend.WithHeaders(testHeaders()))
 		defer clients[i].Close()
 	}
 	for range rounds {
 		for _, c := range clients {
-			var all sync.WaitGroup
-			for range atOnce {
-				all.Go(func() {
-					call := routedCall(b.ln.Addr().String())
+			var wg sync.WaitGroup
+			for range concurrent {
+				wg.Go(func() {
+					call := routedCall(s.ln.Addr().String())
 					call.MayStream, call.Body, call.MaxConnections = false, nil, 1
 					if r := c.Do(context.Background(), call, &recorder{}); r.Err != nil {
 						t.Errorf("request failed: %v", r.Err)
 					}
 				})
 			}
-			all.Wait()
+			wg.Wait()
 			if t.Failed() {
-				t.Fatalf("%d connections were reset", b.resets)
+				t.Fatalf("backend server reset %d connections", s.resets)
 			}
 		}
 	}
--- a/internal/backend/routed_test.go
+++ b/internal/backend/routed_test.go
@@ -16,15 +16,15 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// testDialect has a name for every header.
-func testDialect() backend.HeaderConfig {
+// testHeaders configures every header except the priority.
+func testHeaders() backend.HeaderConfig {
 	return backend.HeaderConfig{
 		RequestID: "X-Id", NotRun: "X-Unrun", Deadline: "X-Left", Instance: "X-Meant", Account: "X-Account", Proof: "X-Proof", LastEvent: "Last-Event-Id",
 		CopyPrefixFrom: "X-Fetch", Leaving: "X-Leaves",
 	}
 }
 
-// routedCall is a call of a route whose answers are passed on unread.
+// routedCall returns a call whose events are not parsed.
 func routedCall(address string) backend.Call {
 	call := newCall(address)
 	call.Opaque = true
@@ -35,16 +35,18 @@
 }
 
 func doRouted(call backend.Call, sink backend.Sink) backend.Result {
-	c := backend.New(backend.WithHeaders(testDialect()))
+	c := backend.New(backend.WithHeaders(testHeaders()))
 	defer c.Close()
 	return c.Do(context.Background(), call, sink)
 }
 
 const (
 	streamHead = "HTTP/1.1 200 OK\r\nX-Id: req-1\r\nX-Proof: p\r\nContent-Type: text/event-stream\r\n"
-	unframed   = streamHead + "\r\n"
+	// unframedHead starts a response that ends with the connection.
+	unframedHead = streamHead + "\r\n"
 )
 
+// numbered returns events with the numbers from..to.
 func numbered(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
@@ -53,6 +55,7 @@
 	return b.String()
 }
 
+// chunked returns a response with chunked encoding; end adds the final chunk.
 func chunked(head, body string, end bool) string {
 	text := head + "Transfer-Encoding: chunked\r\n\r\n"
 	if body != "" {
@@ -64,8 +67,8 @@
 	return text
 }
 
-// outcome is what became of a routed call.
-type outcome struct {
+// routedOutcome is the outcome of a call with the forwarded body.
+type routedOutcome struct {
 	Code    string
 	Verdict verdict.Verdict
 	Began   bool
@@ -73,48 +76,50 @@
 	Body    string
 }
 
-func TestRoutedAnswers(t *testing.T) {
+// TestRoutedResponses guards against forwarding a response that is incomplete, out of order or
+// not meant for the request.
+func TestRoutedResponses(t *testing.T) {
 	const plain = "HTTP/1.1 200 OK\r\nX-Id: req-1\r\nX-Proof: p\r\n"
 	tests := map[string]struct {
-		answer string
-		change func(*backend.Call)
-		want   outcome
+		response string
+		change   func(*backend.Call)
+		want     routedOutcome
 	}{
-		"whole stream":                  {chunked(streamHead, numbered(1, 3), true), nil, outcome{Verdict: verdict.Ran, Began: true, Last: 3, Body: numbered(1, 3)}},
-		"stream without a length":       {unframed + numbered(1, 2), nil, outcome{Verdict: verdict.Ran, Began: true, Last: 2, Body: numbered(1, 2)}},
-		"stream cut between events":     {chunked(streamHead, numbered(1, 2), false), nil, outcome{Code: "answer-cut", Began: true, Last: 2, Body: numbered(1, 2)}},
-		"stream cut within an event":    {chunked(streamHead, numbered(1, 2)+"id: 3\nda", true), nil, outcome{Code: "answer-cut", Began: true, Last: 2, Body: numbered(1, 2)}},
-		"event missing":                 {chunked(streamHead, numbered(1, 1)+numbered(3, 3), true), nil, outcome{Code: "answer-cut", Began: true, Last: 1, Body: numbered(1, 1)}},
-		"event twice":                   {chunked(streamHead, numbered(1, 2)+numbered(2, 3), true), nil, outcome{Code: "answer-cut", Began: true, Last: 2, Body: numbered(1, 2)}},
-		"nothing of a stream came":      {chunked(streamHead, "", false), nil, outcome{Code: "answer-cut"}},
-		"no proof":                      {chunked(strings.Replace(streamHead, "X-Proof: p\r\n", "", 1), numbered(1, 1), true), nil, outcome{Code: "bad-answer"}},
-		"encoded":                       {chunked(streamHead+"Content-Encoding: gzip\r\n", numbered(1, 1), true), nil, outcome{Code: "bad-answer"}},
-		"another's answer":              {chunked(strings.Replace(streamHead, "req-1", "req-2", 1), numbered(1, 1), true), nil, outcome{Code: "crossed-answer"}},
-		"no answer of the protocol":     {"garbage\r\n\r\n", nil, outcome{Code: "backend-broke"}},
-		"not run":                       {"HTTP/1.1 503 Busy\r\nX-Id: req-1\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n", nil, outcome{Code: "backend-refused", Verdict: verdict.NotRun}},
-		"replaced":                      {"HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", nil, outcome{Code: "backend-replaced", Verdict: verdict.NotRun}},
-		"busy without a word of it":     {"HTTP/1.1 503 Busy\r\nX-Id: req-1\r\nX-Proof: p\r\nContent-Length: 2\r\n\r\nno", nil, outcome{Verdict: verdict.Ran, Began: true, Body: "no"}},
-		"a failure that may be mended":  {"HTTP/1.1 500 Oops\r\nX-Id: req-1\r\nX-Proof: p\r\nContent-Length: 2\r\n\r\nno", func(c *backend.Call) { c.WithholdServerErrors = true }, outcome{Code: "backend-failed", Verdict: verdict.Ran}},
-		"plain":                         {plain + "Content-Length: 4\r\n\r\nbody", func(c *backend.Call) { c.MayStream = false }, outcome{Verdict: verdict.Ran, Began: true, Body: "body"}},
-		"plain, cut while it is short":  {plain + "Content-Length: 40\r\n\r\nbody", func(c *backend.Call) { c.MayStream = false }, outcome{Code: "answer-cut"}},
-		"plain, cut when it is long":    {plain + "Content-Length: 4000\r\n\r\n" + strings.Repeat("x", 2000), func(c *backend.Call) { c.MayStream = false }, outcome{Code: "answer-cut", Began: true, Body: strings.Repeat("x", 2000)}},
-		"continued":                     {chunked(streamHead, numbered(3, 4), true), resume, outcome{Verdict: verdict.Ran, Began: true, Last: 4, Body: numbered(3, 4)}},
-		"continued from the beginning":  {chunked(streamHead, numbered(1, 4), true), resume, outcome{Code: "answer-cut", Last: 2}},
-		"continued by a failure":        {"HTTP/1.1 500 Oops\r\nX-Id: req-1\r\nX-Proof: p\r\nContent-Length: 2\r\n\r\nno", resume, outcome{Code: "backend-failed", Verdict: verdict.Ran, Last: 2}},
-		"continued by something else":   {plain + "Content-Length: 2\r\n\r\nno", resume, outcome{Code: "backend-failed", Verdict: verdict.Ran, Last: 2}},
-		"interim answers passed over":   {"HTTP/1.1 100 Continue\r\n\r\n" + chunked(streamHead, numbered(1, 1), true), nil, outcome{Verdict: verdict.Ran, Began: true, Last: 1, Body: numbered(1, 1)}},
-		"an empty stream is a complete": {chunked(streamHead, "", true), nil, outcome{Verdict: verdict.Ran, Began: true}},
+		"complete stream":                   {chunked(streamHead, numbered(1, 3), true), nil, routedOutcome{Verdict: verdict.Ran, Began: true, Last: 3, Body: numbered(1, 3)}},
+		"stream without a length":           {unframedHead + numbered(1, 2), nil, routedOutcome{Verdict: verdict.Ran, Began: true, Last: 2, Body: numbered(1, 2)}},
+		"stream cut between events":         {chunked(streamHead, numbered(1, 2), false), nil, routedOutcome{Code: "answer-cut", Began: true, Last: 2, Body: numbered(1, 2)}},
+		"stream cut within an event":        {chunked(streamHead, numbered(1, 2)+"id: 3\nda", true), nil, routedOutcome{Code: "answer-cut", Began: true, Last: 2, Body: numbered(1, 2)}},
+		"missing event":                     {chunked(streamHead, numbered(1, 1)+numbered(3, 3), true), nil, routedOutcome{Code: "answer-cut", Began: true, Last: 1, Body: numbered(1, 1)}},
+		"repeated event":                    {chunked(streamHead, numbered(1, 2)+numbered(2, 3), true), nil, routedOutcome{Code: "answer-cut", Began: true, Last: 2, Body: numbered(1, 2)}},
+		"stream cut before the first event": {chunked(streamHead, "", false), nil, routedOutcome{Code: "answer-cut"}},
+		"no proof":                          {chunked(strings.Replace(streamHead, "X-Proof: p\r\n", "", 1), numbered(1, 1), true), nil, routedOutcome{Code: "bad-answer"}},
+		"content encoding":                  {chunked(streamHead+"Content-Encoding: gzip\r\n", numbered(1, 1), true), nil, routedOutcome{Code: "bad-answer"}},
+		"response to another request":       {chunked(strings.Replace(streamHead, "req-1", "req-2", 1), numbered(1, 1), true), nil, routedOutcome{Code: "crossed-answer"}},
+		"not an HTTP response":              {"garbage\r\n\r\n", nil, routedOutcome{Code: "backend-broke"}},
+		"not run":                           {"HTTP/1.1 503 Busy\r\nX-Id: req-1\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n", nil, routedOutcome{Code: "backend-refused", Verdict: verdict.NotRun}},
+		"replaced by another instance":      {"HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", nil, routedOutcome{Code: "backend-replaced", Verdict: verdict.NotRun}},
+		"busy, may have run":                {"HTTP/1.1 503 Busy\r\nX-Id: req-1\r\nX-Proof: p\r\nContent-Length: 2\r\n\r\nno", nil, routedOutcome{Verdict: verdict.Ran, Began: true, Body: "no"}},
+		"withheld server error":             {"HTTP/1.1 500 Oops\r\nX-Id: req-1\r\nX-Proof: p\r\nContent-Length: 2\r\n\r\nno", func(c *backend.Call) { c.WithholdServerErrors = true }, routedOutcome{Code: "backend-failed", Verdict: verdict.Ran}},
+		"plain":                             {plain + "Content-Length: 4\r\n\r\nbody", func(c *backend.Call) { c.MayStream = false }, routedOutcome{Verdict: verdict.Ran, Began: true, Body: "body"}},
+		"plain, cut within the buffer":      {plain + "Content-Length: 40\r\n\r\nbody", func(c *backend.Call) { c.MayStream = false }, routedOutcome{Code: "answer-cut"}},
+		"plain, cut beyond the buffer":      {plain + "Content-Length: 4000\r\n\r\n" + strings.Repeat("x", 2000), func(c *backend.Call) { c.MayStream = false }, routedOutcome{Code: "answer-cut", Began: true, Body: strings.Repeat("x", 2000)}},
+		"resumed":                           {chunked(streamHead, numbered(3, 4), true), resume, routedOutcome{Verdict: verdict.Ran, Began: true, Last: 4, Body: numbered(3, 4)}},
+		"resumed from the beginning":        {chunked(streamHead, numbered(1, 4), true), resume, routedOutcome{Code: "answer-cut", Last: 2}},
+		"resumed with a server error":       {"HTTP/1.1 500 Oops\r\nX-Id: req-1\r\nX-Proof: p\r\nContent-Length: 2\r\n\r\nno", resume, routedOutcome{Code: "backend-failed", Verdict: verdict.Ran, Last: 2}},
+		"resumed without a stream":          {plain + "Content-Length: 2\r\n\r\nno", resume, routedOutcome{Code: "backend-failed", Verdict: verdict.Ran, Last: 2}},
+		"interim response":                  {"HTTP/1.1 100 Continue\r\n\r\n" + chunked(streamHead, numbered(1, 1), true), nil, routedOutcome{Verdict: verdict.Ran, Began: true, Last: 1, Body: numbered(1, 1)}},
+		"empty stream":                      {chunked(streamHead, "", true), nil, routedOutcome{Verdict: verdict.Ran, Began: true}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, write(tc.answer))
+			s := serve(t, respond(tc.response))
 			call := routedCall(s.ln.Addr().String())
 			if tc.change != nil {
 				tc.change(&call)
 			}
 			sink := &recorder{}
 			r := doRouted(call, sink)
-			got := outcome{Verdict: verdict.Ran, Began: r.Began, Last: r.LastEvent, Body: sink.body.String()}
+			got := routedOutcome{Verdict: verdict.Ran, Began: r.Began, Last: r.LastEvent, Body: sink.body.String()}
 			if r.Err != nil {
 				got.Code, got.Verdict = r.Err.Code, r.Err.Verdict
 			}
@@ -122,7 +127,7 @@
 				t.Errorf("outcome (-want +got):\n%s", diff)
 			}
 			if call.Resume && sink.status != 0 {
-				t.Error("the head was sent a second time")
+				t.Error("response header sent twice")
 			}
 		})
 	}
@@ -133,10 +138,10 @@
 	c.LastEvent = 2
 }
 
-// conversation answers several requests on one connection, each as told.
-func conversation(answers ...string) func(*server, net.Conn) {
+// respondInOrder returns a handler that writes one response for each request on a connection.
+func respondInOrder(responses ...string) func(*server, net.Conn) {
 	return func(s *server, conn net.Conn) {
-		for _, text := range answers {
+		for _, text := range responses {
 			if !s.readRequest(conn) {
 				return
 			}
@@ -146,33 +151,33 @@
 	}
 }
 
-// TestConnectionsAreKeptWhileSound sends two requests and counts connections.
-func TestConnectionsAreKeptWhileSound(t *testing.T) {
-	answer := func(id, extra string) string {
+// TestConnectionReuse guards against reusing a connection that is closed or has unread data.
+func TestConnectionReuse(t *testing.T) {
+	response := func(id, extra string) string {
 		return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nX-Proof: p\r\n" + extra + "Content-Length: 2\r\n\r\nok"
 	}
 	tests := map[string]struct {
-		answers []string
-		once    bool
-		conns   int64
+		responses     []string
+		notRepeatable bool
+		conns         int64
 	}{
-		"kept":                    {[]string{answer("req-1", ""), answer("req-1", "")}, false, 1},
-		"closed as told":          {[]string{answer("req-1", "Connection: close\r\n")}, false, 2},
-		"a time too short":        {[]string{answer("req-1", "Keep-Alive: timeout=0\r\n")}, false, 2},
-		"bytes after the answer":  {[]string{answer("req-1", "") + "more"}, false, 2},
-		"a late answer is passed": {[]string{answer("req-1", ""), answer("req-0", "") + answer("req-1", "")}, false, 1},
+		"reused":                   {[]string{response("req-1", ""), response("req-1", "")}, false, 1},
+		"Connection: close":        {[]string{response("req-1", "Connection: close\r\n")}, false, 2},
+		"short Keep-Alive timeout": {[]string{response("req-1", "Keep-Alive: timeout=0\r\n")}, false, 2},
+		"data after the response":  {[]string{response("req-1", "") + "more"}, false, 2},
+		"late response discarded":  {[]string{response("req-1", ""), response("req-0", "") + response("req-1", "")}, false, 1},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			var conns atomic.Int64
 			s := serve(t, func(s *server, conn net.Conn) {
 				if conns.Add(1) == 1 {
-					conversation(tc.answers...)(s, conn)
+					respondInOrder(tc.responses...)(s, conn)
 					return
 				}
-				conversation(answer("req-1", ""))(s, conn)
+				respondInOrder(response("req-1", ""))(s, conn)
 			})
-			c := backend.New(backend.WithHeaders(testDialect()))
+			c := backend.New(backend.WithHeaders(testHeaders()))
 			defer c.Close()
 			for i := range 2 {
 				call := routedCall(s.ln.Addr().String())
@@ -189,10 +194,9 @@
 	}
 }
 
-// TestEarlyAnswerEndsTheConnection lets a backend server answer before it has
-// read the body: what it reads later on that connection must not be the next
-// request.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// TestEarlyResponseClosesConnection checks that a connection is not reused while the body of
+// an earlier request may still be in transit.
+func TestEarlyResponseClosesConnection(t *testing.T) {
 	requests := make(chan string, 4)
 	s := serve(t, func(_ *server, conn net.Conn) {
 		head := make([]byte, 4)
@@ -203,23 +207,24 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Busy\r\nX-Id: req-1\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n")
 		_, _ = io.Copy(io.Discard, conn)
 	})
-	c := backend.New(backend.WithHeaders(testDialect()))
+	c := backend.New(backend.WithHeaders(testHeaders()))
 	defer c.Close()
 	for range 2 {
 		call := routedCall(s.ln.Addr().String())
 		call.Body = make([]byte, 64<<20)
 		if r := c.Do(context.Background(), call, &recorder{}); r.Err == nil || r.Err.Verdict != verdict.NotRun {
-			t.Fatalf("result %v", r.Err)
+			t.Fatalf("call ended with %v", r.Err)
 		}
 	}
 	for range 2 {
 		if got := <-requests; got != "POST" {
-			t.Errorf("a connection began with %q", got)
+			t.Errorf("connection began with %q", got)
 		}
 	}
 }
 
-func TestRequestIsPassedOn(t *testing.T) {
+// TestForwardedRequest checks that hop-by-hop headers and forged protocol headers are removed.
+func TestForwardedRequest(t *testing.T) {
 	got := make(chan string, 1)
 	s := serve(t, func(_ *server, conn net.Conn) {
 		buf := make([]byte, 4096)
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -24,10 +24,10 @@
 
 const (
 	benchSlots = 64
-	// benchRate makes the stand-in as fast as it goes.
-	benchRate = 1e9
-	// stalled makes it produce nothing.
-	stalled = 1e-3
+	// unlimitedRate and stalledRate are in tokens per second: as fast as possible and
+	// practically none.
+	unlimitedRate = 1e9
+	stalledRate   = 1e-3
 )
 
 func listen(b *testing.B) (net.Listener, string) {
@@ -39,13 +39,13 @@
 	return ln, ln.Addr().String()
 }
 
-// bench starts one router before one stand-in and returns both addresses.
-func bench(b *testing.B, rate float64) (routed, direct string) {
+// startRouter starts a router with one stand-in engine and returns both addresses.
+func startRouter(b *testing.B, rate float64) (routed, direct string) {
 	b.Helper()
 	engineLn, direct := listen(b)
-	j := judge.New()
-	j.AddServer(judge.Server{Name: "s", Slots: benchSlots})
-	e := engine.Start(engine.Config{Name: "s", Slots: benchSlots, TokensPerSecond: rate, Step: time.Nanosecond, Judge: j}, engineLn)
+	verifier := judge.New()
+	verifier.AddServer(judge.Server{Name: "s", Slots: benchSlots})
+	e := engine.Start(engine.Config{Name: "s", Slots: benchSlots, TokensPerSecond: rate, Step: time.Nanosecond, Judge: verifier}, engineLn)
 	platformLn, platformAddress := listen(b)
 	p := platform.Start(platformLn)
 	sum := sha256.Sum256([]byte("key"))
@@ -67,13 +67,13 @@
 		p.Close()
 	})
 	routed = n.ListenAddresses().Callers
-	for rate == benchRate && send(routed, 1) != nil {
+	for rate == unlimitedRate && send(routed, 1) != nil {
 		time.Sleep(10 * time.Millisecond)
 	}
 	return routed, direct
 }
 
-// send sends one streamed request and reads its answer.
+// send sends a streaming request and reads the response.
 func send(address string, tokens int) error {
 	body := fmt.Sprintf(`{"model":"m","stream":true,"load_id":"x","load_tokens":%d}`, tokens)
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/completions", bytes.NewReader([]byte(body)))
@@ -95,17 +95,17 @@
 	return nil
 }
 
-// BenchmarkRequest compares a request through a router with one straight to
-// the stand-in, for answers of 1 and of 201 chunks: the difference of the
-// differences, over 200, is what the router adds to a chunk.
+// BenchmarkRequest compares requests through a router with requests sent directly to the
+// stand-in. Let d(n) be the difference for responses of n chunks: the router adds
+// (d(201) - d(1)) / 200 per chunk.
 func BenchmarkRequest(b *testing.B) {
-	routed, direct := bench(b, benchRate)
-	for _, way := range []struct{ name, address string }{{"direct", direct}, {"routed", routed}} {
+	routed, direct := startRouter(b, unlimitedRate)
+	for _, target := range []struct{ name, address string }{{"direct", direct}, {"routed", routed}} {
 		for _, chunks := range []int{1, 201} {
-			b.Run(fmt.Sprintf("%s/chunks=%d", way.name, chunks), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/chunks=%d", target.name, chunks), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					if err := send(way.address, chunks); err != nil {
+					if err := send(target.address, chunks); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -114,9 +114,9 @@
 	}
 }
 
-// BenchmarkParallel is how many requests a second one router passes on.
+// BenchmarkParallel measures the request throughput of one router.
 func BenchmarkParallel(b *testing.B) {
-	routed, _ := bench(b, benchRate)
+	routed, _ := startRouter(b, unlimitedRate)
 	http.DefaultTransport.(*http.Transport).MaxIdleConnsPerHost = benchSlots
 	b.SetParallelism(4)
 	b.RunParallel(func(pb *testing.PB) {
@@ -128,16 +128,16 @@
 	})
 }
 
-// BenchmarkWaiting reports the memory that one waiting request holds at a
-// router, its connection with it. The callers' ends are bare sockets.
+// BenchmarkWaiting reports the memory of a waiting request and its connection in a router.
+// The clients are plain sockets, so that they hardly add to it.
 func BenchmarkWaiting(b *testing.B) {
 	const waiting = 1000
-	routed, _ := bench(b, stalled)
+	routed, _ := startRouter(b, stalledRate)
 	time.Sleep(2 * time.Second)
 	body := `{"model":"m","stream":true,"load_id":"x","load_tokens":1000000000000}`
 	text := fmt.Sprintf("POST /v1/completions HTTP/1.1\r\nHost: r\r\nAuthorization: Bearer key\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	for range b.N {
-		heap, stack := heldMemory()
+		heap, stack := memoryInUse()
 		conns := make([]net.Conn, waiting)
 		for i := range conns {
 			conn, err := net.Dial("tcp", routed)
@@ -148,7 +148,7 @@
 			_, _ = io.WriteString(conn, text)
 		}
 		time.Sleep(time.Second)
-		heapAfter, stackAfter := heldMemory()
+		heapAfter, stackAfter := memoryInUse()
 		b.ReportMetric(float64(heapAfter-heap)/waiting, "heap-B/waiting")
 		b.ReportMetric(float64(stackAfter-stack)/waiting, "stack-B/waiting")
 		for _, conn := range conns {
@@ -157,7 +157,7 @@
 	}
 }
 
-func heldMemory() (heap, stack uint64) {
+func memoryInUse() (heap, stack uint64) {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// clockLook is the interval at which is looked whether suspensions are still counted.
-const clockLook = time.Second
+const clockCheckInterval = time.Second
 
-// watchClock is the task that has the clock look for suspensions, and tells once if it
-// cannot count them.
+// watchClock runs the detection of machine suspensions. If the detection fails, it logs
+// one warning.
 func (n *Node) watchClock(ctx context.Context) {
 	go n.clock.Run(ctx)
-	tick := time.NewTicker(clockLook)
+	tick := time.NewTicker(clockCheckInterval)
 	defer tick.Stop()
 	for {
 		if err := n.clock.Fault(); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,4 @@
-// Package node wires one router process: its listeners, the tasks behind
-// them, and the order in which they start and stop.
+// Package node assembles a router process from its parts, starts it and stops it.
 package node
 
 import (
@@ -38,36 +37,36 @@
 // Node is one running router.
 type Node struct {
 	Settings config.Settings
-	// Router, Peers, Front and Platform are its parts, for measurements.
+	// Router, Peers, Front and Platform are exported for measurements.
 	Router   *router.Router
 	Peers    *peer.Net
 	Front    *front.Server
 	Platform *platform.Client
 
-	// Dispatch decides where a platform is followed; Router does elsewhere.
+	// Dispatch schedules requests, or Router if Dispatch is nil.
 	Dispatch *dispatch.Dispatcher
 
 	core core
-	// forwarder hands callers' connections on, nil where nobody takes them.
-	forwarder *forward.Forwarder
-	admin     *admin.Server
-	metrics   *metrics.Metrics
-	burn      *burn.Window
-	backend   *backend.Client
-	loads     *backend.LoadReader
-	log       *slog.Logger
-	clock     *clock.Clock
-	failed    chan error
-	stop      context.CancelFunc
-	ls        *listeners
-	// work is what the time had gone to when that was last looked at.
-	work work
+	// forwarder forwards client connections to other routers; it may be nil.
+	forwarder   *forward.Forwarder
+	admin       *admin.Server
+	metrics     *metrics.Metrics
+	burn        *burn.Window
+	backend     *backend.Client
+	loads       *backend.LoadReader
+	log         *slog.Logger
+	clock       *clock.Clock
+	serveErrors chan error
+	stopTasks   context.CancelFunc
+	listeners   *listeners
+	// lastWork is the value at the last call of updateWorkGauges.
+	lastWork workCounters
 
 	mu          sync.Mutex
 	drainNotice time.Duration
 }
 
-// core decides which request goes where.
+// core is the scheduler of a router.
 type core interface {
 	front.Scheduler
 	Start()
@@ -75,79 +74,77 @@
 	Close()
 }
 
-// Platform is an operators' platform that a router can be run on.
+// Platform connects routers to a kind of external platform.
 type Platform struct {
-	// Source reads what it publishes at an IP number and port.
+	// Source returns a reader of the platform at an address, host and port.
 	Source func(address string, d Dialer) dispatch.Source
-	// Callers and Backends are the headers spoken there.
+	// Callers and Backends name the headers used with clients and backend servers.
 	Callers  front.HeaderConfig
 	Backends backend.HeaderConfig
 }
 
 type options struct {
-	platforms map[string]Platform
-	dialer    Dialer
-	log       *slog.Logger
-	router    []router.Option
-	observer  front.Observer
-	scheduler func(*router.Router) front.Scheduler
-	clock     *clock.Clock
-	wall      func() time.Time
-	// owners says that the product's own interface is served by owners of backend servers.
-	owners bool
+	platforms     map[string]Platform
+	dialer        Dialer
+	log           *slog.Logger
+	router        []router.Option
+	observer      front.Observer
+	scheduler     func(*router.Router) front.Scheduler
+	clock         *clock.Clock
+	wallClock     func() time.Time
+	useDispatcher bool
 }
 
-// Option changes a new Node.
+// Option configures a Node.
 type Option func(*options)
 
-// WithDialer replaces the plain TCP dialer of all connections.
+// WithDialer replaces the TCP dialer for all outgoing connections.
 func WithDialer(d Dialer) Option { return func(o *options) { o.dialer = d } }
 
-// WithLogger sets where events are logged.
+// WithLogger sets the logger.
 func WithLogger(l *slog.Logger) Option { return func(o *options) { o.log = l } }
 
-// WithDispatcher has the product's own interface served by the owners of backend servers that
-// serve operators' platforms, in place of owners of pools.
-func WithDispatcher() Option { return func(o *options) { o.owners = true } }
+// WithDispatcher serves the built-in API with a dispatch.Dispatcher instead of a
+// router.Router.
+func WithDispatcher() Option { return func(o *options) { o.useDispatcher = true } }
 
-// WithClock sets the clock by which the router's beliefs age and its deadlines end.
+// WithClock sets the clock for deadlines and the age of information.
 func WithClock(c *clock.Clock) Option { return func(o *options) { o.clock = c } }
 
-// WithWallClock sets what tells the time of day, by which the router's starts are told apart.
-func WithWallClock(now func() time.Time) Option { return func(o *options) { o.wall = now } }
+// WithWallClock replaces time.Now for the incarnation number of the router.
+func WithWallClock(now func() time.Time) Option { return func(o *options) { o.wallClock = now } }
 
-// WithPlatforms adds platforms by the names that settings give them.
+// WithPlatforms sets the platforms by the platform_kind that selects them.
 func WithPlatforms(p map[string]Platform) Option { return func(o *options) { o.platforms = p } }
 
-// WithRouter passes options on to the router.
+// WithRouter adds options of router.New.
 func WithRouter(opts ...router.Option) Option {
 	return func(o *options) { o.router = append(o.router, opts...) }
 }
 
-// WithObserver adds someone who is told how requests ended.
+// WithObserver adds an observer of request outcomes.
 func WithObserver(ob front.Observer) Option { return func(o *options) { o.observer = ob } }
 
-// WithScheduler replaces the router as the callers' scheduler, for baselines.
+// WithScheduler replaces the scheduler that serves clients, for baseline measurements.
 func WithScheduler(f func(*router.Router) front.Scheduler) Option {
 	return func(o *options) { o.scheduler = f }
 }
 
-// dialTimeout bounds the opening of any connection.
 const dialTimeout = time.Second
 
-// Start starts a router by its settings.
+// Start starts a router with the given settings.
 func Start(s config.Settings, opts ...Option) (*Node, error) {
 	o := options{
 		dialer:    &net.Dialer{Timeout: dialTimeout},
 		log:       slog.Default(),
 		scheduler: func(r *router.Router) front.Scheduler { return r },
 		clock:     clock.System(),
-		wall:      time.Now,
+		wallClock: time.Now,
 	}
 	for _, f := range opts {
 		f(&o)
 	}
-	n := &Node{Settings: s, log: o.log.With("router", s.Name), failed: make(chan error, 3), drainNotice: s.DrainNotice, clock: o.clock}
+	n := &Node{Settings: s, log: o.log.With("router", s.Name), serveErrors: make(chan error, 3), drainNotice: s.DrainNotice, clock: o.clock}
 	if err := n.start(s, o); err != nil {
 		return nil, fmt.Errorf("node %s: %w", s.Name, err)
 	}
@@ -167,38 +164,38 @@
 	if err != nil {
 		return errors.Join(err, ls.close())
 	}
-	n.ls = ls
+	n.listeners = ls
 	n.burn = burn.New(s.Name, s.Objectives)
-	inc := uint64(o.wall().UnixNano())
+	incarnation := uint64(o.wallClock().UnixNano())
 	backendOpts := []backend.Option{
 		backend.WithDialer(o.dialer), backend.WithIdleTimeout(s.Backends.Idle), backend.WithMaxResponse(s.Backends.MaxAnswerBytes), backend.WithClock(n.clock),
 	}
 	frontOpts := []front.Option{
-		front.WithCallerLimits(callersOf(s)), front.WithTLS(t.callers), front.WithLogger(n.log),
+		front.WithCallerLimits(callerLimits(s)), front.WithTLS(t.callers), front.WithLogger(n.log),
 		front.WithObserver(observers{n.metrics, n.burn, o.observer}), front.WithClock(n.clock),
 	}
 	var scheduler front.Scheduler
 	var source admin.Source
 	switch {
-	case s.PlatformKind == config.PlatformValues && o.owners:
-		n.startOwners(s, o, t, inc)
+	case s.PlatformKind == config.PlatformValues && o.useDispatcher:
+		n.setUpValuesDispatcher(s, o, t, incarnation)
 		n.core, scheduler, source = n.Dispatch, n.Dispatch, n.Dispatch
 	case s.PlatformKind == config.PlatformValues:
-		n.startRouter(s, o, t, inc)
+		n.setUpRouter(s, o, t, incarnation)
 		n.core, scheduler, source = n.Router, o.scheduler(n.Router), n.Router
 	default:
 		p, ok := o.platforms[s.PlatformKind]
 		if !ok {
 			return errors.Join(fmt.Errorf("platform_kind %q is unknown; write one of %v", s.PlatformKind, slices.Sorted(maps.Keys(o.platforms))), ls.close())
 		}
-		n.startDispatcher(s, o, t, p, inc)
+		n.setUpPlatformDispatcher(s, o, t, p, incarnation)
 		d := n.Dispatch
 		n.core, scheduler, source = d, d, d
 		backendOpts = append(backendOpts, backend.WithHeaders(p.Backends))
 		frontOpts = append(frontOpts, front.WithHeaders(p.Callers), front.WithRoutesOnly(), front.WithForwarder(n.forwarder))
 	}
 	n.backend = backend.New(backendOpts...)
-	n.Front = front.New(s.Name, inc, scheduler, n.backend, frontOpts...)
+	n.Front = front.New(s.Name, incarnation, scheduler, n.backend, frontOpts...)
 	if n.forwarder != nil {
 		n.forwarder.Bind(n.Peers, n.Front)
 	}
@@ -208,14 +205,14 @@
 	return nil
 }
 
-// startDispatcher makes the scheduler of a router that follows a platform.
-func (n *Node) startDispatcher(s config.Settings, o options, t tlsAll, p Platform, inc uint64) {
-	id := dispatch.Identity{Name: s.Name, Address: n.ls.peers.Addr().String(), Zone: s.Zone, Incarnation: inc, Capacity: s.Machine.Processors, ListenAddresses: n.ls.addresses()}
-	n.forwarder = forward.New(forward.WithBatchDelay(n.gatherForwarded), forward.WithClock(n.clock))
-	n.Peers = peer.New(id.Name, id.Zone, id.Incarnation, n.ls.peers, append(n.peerOptions(o, t), peer.WithAddress(id.Address), peer.WithTaken(n.forwarder.Handle))...)
+// setUpPlatformDispatcher creates the scheduler of a router on an external platform.
+func (n *Node) setUpPlatformDispatcher(s config.Settings, o options, t tlsConfigs, p Platform, incarnation uint64) {
+	id := dispatch.Identity{Name: s.Name, Address: n.listeners.peers.Addr().String(), Zone: s.Zone, Incarnation: incarnation, Capacity: s.Machine.Processors, ListenAddresses: n.listeners.addresses()}
+	n.forwarder = forward.New(forward.WithBatchDelay(n.forwardedBatchDelay), forward.WithClock(n.clock))
+	n.Peers = peer.New(id.Name, id.Zone, id.Incarnation, n.listeners.peers, append(n.peerOptions(o, t), peer.WithAddress(id.Address), peer.WithTaken(n.forwarder.Handle))...)
 	opts := []dispatch.Option{
 		dispatch.WithLogger(n.log), dispatch.WithSeeds(s.Seeds), dispatch.WithApplyWithin(s.ApplyWithin),
-		dispatch.WithRetryBudget(ruleOf(s.Retries)), dispatch.WithForwarder(n.forwarder), dispatch.WithClock(n.clock),
+		dispatch.WithRetryBudget(retryBudget(s.Retries)), dispatch.WithForwarder(n.forwarder), dispatch.WithClock(n.clock),
 	}
 	if p.Backends.Instance != "" {
 		opts = append(opts, dispatch.WithUniqueStarts())
@@ -223,28 +220,26 @@
 	n.Dispatch = dispatch.New(id, p.Source(s.Platform, o.dialer), n.Peers, opts...)
 }
 
-// startOwners makes the scheduler of a router that follows values of the platform.
-func (n *Node) startOwners(s config.Settings, o options, t tlsAll, inc uint64) {
-	id := dispatch.Identity{Name: s.Name, Address: n.ls.peers.Addr().String(), Zone: s.Zone, Incarnation: inc, Capacity: s.Machine.Processors, ListenAddresses: n.ls.addresses()}
-	n.Peers = peer.New(id.Name, id.Zone, id.Incarnation, n.ls.peers, append(n.peerOptions(o, t), peer.WithAddress(id.Address))...)
+// setUpValuesDispatcher creates a dispatcher for the built-in API.
+func (n *Node) setUpValuesDispatcher(s config.Settings, o options, t tlsConfigs, incarnation uint64) {
+	id := dispatch.Identity{Name: s.Name, Address: n.listeners.peers.Addr().String(), Zone: s.Zone, Incarnation: incarnation, Capacity: s.Machine.Processors, ListenAddresses: n.listeners.addresses()}
+	n.Peers = peer.New(id.Name, id.Zone, id.Incarnation, n.listeners.peers, append(n.peerOptions(o, t), peer.WithAddress(id.Address))...)
 	n.Platform = platform.New(s.Platform, platform.WithTransport(&http.Transport{DialContext: o.dialer.DialContext}))
 	n.loads = backend.NewLoadReader(o.dialer)
 	n.Dispatch = dispatch.New(id, values.New(n.Platform), n.Peers,
 		dispatch.WithLogger(n.log), dispatch.WithSeeds(s.Seeds), dispatch.WithApplyWithin(s.ApplyWithin),
-		dispatch.WithRetryBudget(ruleOf(s.Retries)), dispatch.WithClock(n.clock), dispatch.WithWeights(), dispatch.WithLoadReader(n.loads))
+		dispatch.WithRetryBudget(retryBudget(s.Retries)), dispatch.WithClock(n.clock), dispatch.WithWeights(), dispatch.WithLoadReader(n.loads))
 }
 
-// gatherPart is the part of the time within which an event is to reach its caller for
-// which pieces of an answer are collected before they go back to the router that has the
-// caller: each takes it as long as a piece of its own answers.
-const gatherPart = 0.25
+// forwardedBatchShare is the share of the event delay limit for which responses to another
+// router's clients are batched.
+const forwardedBatchShare = 0.25
 
-// gatherForwarded is for how long answers to another router's callers are collected.
-func (n *Node) gatherForwarded() time.Duration {
-	return time.Duration(gatherPart * float64(n.Settings.Callers.PassWithin))
+func (n *Node) forwardedBatchDelay() time.Duration {
+	return time.Duration(forwardedBatchShare * float64(n.Settings.Callers.PassWithin))
 }
 
-func (n *Node) peerOptions(o options, t tlsAll) []peer.Option {
+func (n *Node) peerOptions(o options, t tlsConfigs) []peer.Option {
 	opts := []peer.Option{peer.WithDialer(o.dialer), peer.WithLogger(n.log)}
 	if t.peers != nil {
 		opts = append(opts, peer.WithTLS(t.peers))
@@ -252,10 +247,10 @@
 	return opts
 }
 
-// startRouter makes the router that owns pools of backend servers.
-func (n *Node) startRouter(s config.Settings, o options, t tlsAll, inc uint64) {
-	id := router.Identity{Name: s.Name, Zone: s.Zone, Inc: inc}
-	n.Peers = peer.New(id.Name, id.Zone, id.Inc, n.ls.peers, n.peerOptions(o, t)...)
+// setUpRouter creates a router.Router, which owns pools of backend servers.
+func (n *Node) setUpRouter(s config.Settings, o options, t tlsConfigs, incarnation uint64) {
+	id := router.Identity{Name: s.Name, Zone: s.Zone, Inc: incarnation}
+	n.Peers = peer.New(id.Name, id.Zone, id.Inc, n.listeners.peers, n.peerOptions(o, t)...)
 	n.Platform = platform.New(s.Platform, platform.WithTransport(&http.Transport{DialContext: o.dialer.DialContext}))
 	n.loads = backend.NewLoadReader(o.dialer)
 	opts := append([]router.Option{router.WithLogger(n.log), router.WithObserver(n.metrics)}, o.router...)
@@ -263,102 +258,98 @@
 }
 
 func (n *Node) serve(ls *listeners) {
-	go func() { n.failed <- n.Front.Serve(ls.callers) }()
-	go func() { n.failed <- n.admin.Serve(ls.admin) }()
+	go func() { n.serveErrors <- n.Front.Serve(ls.callers) }()
+	go func() { n.serveErrors <- n.admin.Serve(ls.admin) }()
 	if ls.readiness != nil {
-		go func() { n.failed <- n.admin.Serve(ls.readiness) }()
+		go func() { n.serveErrors <- n.admin.Serve(ls.readiness) }()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	n.stop = cancel
+	n.stopTasks = cancel
 	go n.watchClock(ctx)
-	go n.gauge(ctx)
+	go n.runGauges(ctx)
 	n.log.Info("router_started", "zone", n.Settings.Zone, "callers", ls.callers.Addr().String(),
 		"peers", ls.peers.Addr().String(), "admin", ls.admin.Addr().String())
 }
 
-// ListenAddresses returns where the router listens, with the ports that a 0 in the
-// settings was given.
+// ListenAddresses returns the addresses of the listeners with the actual ports.
 func (n *Node) ListenAddresses() config.Listen {
 	l := config.Listen{
-		Callers: n.ls.callers.Addr().String(), Peers: n.ls.peers.Addr().String(), Admin: n.ls.admin.Addr().String(),
+		Callers: n.listeners.callers.Addr().String(), Peers: n.listeners.peers.Addr().String(), Admin: n.listeners.admin.Addr().String(),
 	}
-	if n.ls.readiness != nil {
-		l.Readiness = n.ls.readiness.Addr().String()
+	if n.listeners.readiness != nil {
+		l.Readiness = n.listeners.readiness.Addr().String()
 	}
 	return l
 }
 
-// Reload takes over settings that a running router can.
+// Reload applies the settings that can change at run time.
 func (n *Node) Reload(s config.Settings) {
 	n.mu.Lock()
 	n.drainNotice = s.DrainNotice
 	n.mu.Unlock()
-	n.Front.SetCallerLimits(callersOf(s))
+	n.Front.SetCallerLimits(callerLimits(s))
 	if n.Dispatch != nil {
-		n.Dispatch.Reconfigure(ruleOf(s.Retries), s.ApplyWithin)
+		n.Dispatch.Reconfigure(retryBudget(s.Retries), s.ApplyWithin)
 	}
 }
 
-func (n *Node) notice() time.Duration {
+func (n *Node) currentDrainNotice() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.drainNotice
 }
 
-func ruleOf(r config.Retries) allowance.Rule {
+func retryBudget(r config.Retries) allowance.Rule {
 	return allowance.Rule{Ratio: r.Ratio, Extra: r.Extra, Window: r.Window}
 }
 
-// callersOf returns what callers may do by the settings.
-func callersOf(s config.Settings) front.CallerLimits {
+func callerLimits(s config.Settings) front.CallerLimits {
 	return front.CallerLimits{
 		MaxBody: s.Callers.MaxBodyBytes, MaxHeader: s.Callers.MaxHeaderBytes, Deadline: s.Callers.DefaultDeadline,
-		IOTimeout: s.Callers.SlowCaller, MaxOpen: s.Callers.MaxOpen, MaxConnections: connectionsOf(s.Machine),
+		IOTimeout: s.Callers.SlowCaller, MaxOpen: s.Callers.MaxOpen, MaxConnections: maxConnections(s.Machine),
 		MaxEventDelay: s.Callers.PassWithin,
 	}
 }
 
-// Parts of the descriptors: callers' connections may take this one, the rest
-// is for backend servers, peers and files.
 const (
-	callersPart      = 0.6
-	otherDescriptors = 200
-	// connectionMemory is what a caller's connection takes with its request, in
-	// bytes; connectionsPart of the memory may be theirs. Heap and stacks of one
-	// with a request of 12 kB take 36 kB, of an idle one 19 kB
-	// (BenchmarkConnectionMemory); the rest is for the connection to the backend
-	// server and for what the collector has not freed yet.
+	// callerDescriptorShare is the share of file descriptors, less the reserved ones, for
+	// client connections. Connections to backend servers and routers use the rest.
+	callerDescriptorShare = 0.6
+	reservedDescriptors   = 200
+	// connectionMemory is the memory of a client connection with its request and its
+	// connection to the backend server, in bytes, including garbage.
 	connectionMemory = 64 << 10
-	connectionsPart  = 0.5
+	// connectionMemoryShare is the share of the memory for client connections.
+	connectionMemoryShare = 0.5
 )
 
-// connectionsOf returns how many connections callers may have open, 0 for any
-// number.
-func connectionsOf(m config.Machine) int {
-	most := 0
-	if m.Descriptors > otherDescriptors {
-		most = int(callersPart * float64(m.Descriptors-otherDescriptors))
+// maxConnections returns the limit on client connections, 0 for none.
+func maxConnections(m config.Machine) int {
+	limit := 0
+	if m.Descriptors > reservedDescriptors {
+		limit = int(callerDescriptorShare * float64(m.Descriptors-reservedDescriptors))
 	}
 	if m.MemoryMB > 0 {
-		byMemory := int(connectionsPart * float64(m.MemoryMB<<20) / connectionMemory)
-		if most == 0 || byMemory < most {
-			most = byMemory
+		byMemory := int(connectionMemoryShare * float64(m.MemoryMB<<20) / connectionMemory)
+		if limit == 0 || byMemory < limit {
+			limit = byMemory
 		}
 	}
-	return most
+	return limit
 }
 
-// Failed delivers an error if a listener fails; nil means that it was closed.
-func (n *Node) Failed() <-chan error { return n.failed }
+// Failed delivers the result of each listener that ends: an error if it failed, nil if it
+// was closed.
+func (n *Node) Failed() <-chan error { return n.serveErrors }
 
-// Stop ends the router as a planned stop does: for a while it goes on and only
-// says that it is stopping, so that balancers notice; then nothing new is
-// taken, leases go back, streams run to their end or until ctx is done.
+// Stop shuts the router down gracefully. It first reports the router as not ready for the
+// drain notice, so that load balancers stop sending requests. Then it refuses new requests,
+// returns leases and waits for open requests until ctx is done.
 func (n *Node) Stop(ctx context.Context) error {
 	n.admin.Leave()
 	n.Front.DisableKeepAlives()
-	n.log.Info("router_leaving", "notice_ms", n.notice().Milliseconds())
-	n.clock.Sleep(ctx, n.notice())
+	n.log.Info("router_leaving", "notice_ms", n.currentDrainNotice().Milliseconds())
+	n.clock.Sleep(ctx, n.currentDrainNotice())
 	n.Front.Drain()
 	n.core.Drain()
 	err := n.Front.Shutdown(ctx)
@@ -368,24 +359,25 @@
 	return err
 }
 
-// flushFor bounds the wait for the ends of answers that go to other routers' callers.
-const flushFor = 200 * time.Millisecond
+// flushTimeout limits the wait for final messages to other routers, which may hold the
+// ends of forwarded responses.
+const flushTimeout = 200 * time.Millisecond
 
-// flushPeers waits until what was said to other routers is written.
+// flushPeers waits until queued messages to other routers are written.
 func (n *Node) flushPeers() {
-	ctx, cancel := context.WithTimeout(context.Background(), flushFor)
+	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	n.Peers.Flush(ctx)
 }
 
-// Kill ends the router as a crash does.
+// Kill stops the router without draining, as a crash would.
 func (n *Node) Kill() {
 	_ = n.Front.Close()
 	n.close()
 }
 
 func (n *Node) close() {
-	n.stop()
+	n.stopTasks()
 	_ = n.Front.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -15,38 +15,36 @@
 	"github.com/yarrowmast/yarrowmast/internal/tlsconf"
 )
 
-// listeners are the sockets of a router. Readiness is nil unless the settings
-// give it an address of its own.
+// listeners are the sockets of a router. The readiness listener is nil unless the settings
+// configure its address.
 type listeners struct{ callers, peers, admin, readiness net.Listener }
 
-// noProbes listens without the kernel's probes of connections that rest. Callers' have
-// bounds on each read, write and rest; to set the probes takes 4 of the 13 system calls of
-// a refusal.
-var noProbes = net.ListenConfig{KeepAlive: -1}
+// noKeepAlive disables TCP keep-alive, which costs system calls for each connection. Client
+// connections have timeouts for reads, writes and idle time.
+var noKeepAlive = net.ListenConfig{KeepAlive: -1}
 
 func listenAll(l config.Listen) (*listeners, error) {
 	ls := &listeners{}
 	for _, x := range []struct {
-		what, address string
+		name, address string
 		ln            *net.Listener
 	}{{"callers", l.Callers, &ls.callers}, {"peers", l.Peers, &ls.peers}, {"admin", l.Admin, &ls.admin}, {"readiness", l.Readiness, &ls.readiness}} {
 		if x.address == "" {
 			continue
 		}
-		listen := net.ListenConfig{}
+		lc := net.ListenConfig{}
 		if x.ln == &ls.callers {
-			listen = noProbes
+			lc = noKeepAlive
 		}
-		ln, err := listen.Listen(context.Background(), "tcp", x.address)
+		ln, err := lc.Listen(context.Background(), "tcp", x.address)
 		if err != nil {
-			return nil, errors.Join(fmt.Errorf("listen for %s: %w", x.what, err), ls.close())
+			return nil, errors.Join(fmt.Errorf("listen for %s: %w", x.name, err), ls.close())
 		}
 		*x.ln = ln
 	}
 	return ls, nil
 }
 
-// addresses lists where the router listens.
 func (ls *listeners) addresses() []string {
 	var list []string
 	for _, ln := range []net.Listener{ls.callers, ls.peers, ls.admin, ls.readiness} {
@@ -67,9 +65,9 @@
 	return errors.Join(errs...)
 }
 
-type tlsAll struct{ callers, peers, admin *tls.Config }
+type tlsConfigs struct{ callers, peers, admin *tls.Config }
 
-func loadTLS(s config.TLSAll) (t tlsAll, err error) {
+func loadTLS(s config.TLSAll) (t tlsConfigs, err error) {
 	if t.callers, err = tlsconf.New(s.Callers); err != nil {
 		return t, fmt.Errorf("tls for callers: %w", err)
 	}
@@ -82,7 +80,7 @@
 	return t, nil
 }
 
-// observers tells several of an outcome; nil ones are passed over.
+// observers calls several observers and skips nil ones.
 type observers []front.Observer
 
 // RequestEnded implements front.Observer.
@@ -94,24 +92,23 @@
 	}
 }
 
-// gaugeEvery is the interval at which gauges are renewed.
-const gaugeEvery = time.Second
+const gaugeInterval = time.Second
 
-// gauge is the task that copies counts into metrics.
-func (n *Node) gauge(ctx context.Context) {
-	tick := time.NewTicker(gaugeEvery)
+// runGauges updates the metrics periodically until ctx is done.
+func (n *Node) runGauges(ctx context.Context) {
+	tick := time.NewTicker(gaugeInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			n.gaugeOnce()
+			n.updateGauges()
 		}
 	}
 }
 
-func (n *Node) gaugeOnce() {
+func (n *Node) updateGauges() {
 	p := n.Peers.Counters()
 	callers := n.Front.Connections()
 	n.setGauges(map[string]int64{
@@ -128,14 +125,14 @@
 		metrics.PeerDropped:  p.Dropped.Load(),
 	})
 	if n.Router != nil {
-		n.gaugeRouter()
+		n.updateRouterGauges()
 	} else {
-		n.gaugeDispatch()
-		n.gaugeWork()
+		n.updateDispatchGauges()
+		n.updateWorkGauges()
 	}
 }
 
-func (n *Node) gaugeRouter() {
+func (n *Node) updateRouterGauges() {
 	s := n.Router.Status()
 	n.setGauges(map[string]int64{
 		metrics.Leases:        int64(s.Leases),
@@ -148,7 +145,7 @@
 	}
 }
 
-func (n *Node) gaugeDispatch() {
+func (n *Node) updateDispatchGauges() {
 	s := n.Dispatch.Status()
 	n.setGauges(map[string]int64{
 		metrics.Members:        int64(len(s.Live) + 1),
@@ -175,12 +172,12 @@
 	}
 }
 
-// readiness is a source that is also unready while callers' connections are
-// refused, so that balancers send new ones elsewhere.
+// readiness also reports overload while client connections are refused, so that load
+// balancers choose another router.
 type readiness struct {
 	admin.Source
-	callers *front.Server
+	front *front.Server
 }
 
 // Overloaded implements admin.Source.
-func (r readiness) Overloaded() bool { return r.Source.Overloaded() || r.callers.ConnectionsFull() }
+func (r readiness) Overloaded() bool { return r.Source.Overloaded() || r.front.ConnectionsFull() }
--- a/internal/node/work.go
+++ b/internal/node/work.go
@@ -7,27 +7,26 @@
 	"github.com/yarrowmast/yarrowmast/internal/metrics"
 )
 
-// work is what a router's time went to since its start.
-type work struct {
-	// processor is the processor time, 0 where the machine does not tell.
-	processor time.Duration
-	// requests counts those that came, screened those of them that were refused
-	// unseen.
-	requests, screened int64
-	// events counts the streams' events that were passed on, sends the times that
-	// something was sent to a caller, messages those from and to peers.
-	events, sends, messages int64
+// workCounters count the work of a router since its start.
+type workCounters struct {
+	// processorTime is 0 if the system does not report it.
+	processorTime time.Duration
+	// refusedEarly counts requests refused before their body was read.
+	requests, refusedEarly int64
+	// events counts forwarded stream events, flushes writes to clients, messages those
+	// received from and sent to other routers.
+	events, flushes, messages int64
 }
 
-func (n *Node) workNow() work {
-	passed, p := n.backend.Stats(), n.Peers.Counters()
-	return work{
-		processor: processorTime(), requests: n.Front.Requests(), screened: n.Dispatch.LoadStats().RefusedEarly,
-		events: passed.Events, sends: passed.Flushes, messages: p.MessagesIn.Load() + p.MessagesOut.Load(),
+func (n *Node) currentWork() workCounters {
+	forwarded, p := n.backend.Stats(), n.Peers.Counters()
+	return workCounters{
+		processorTime: processorTime(), requests: n.Front.Requests(), refusedEarly: n.Dispatch.LoadStats().RefusedEarly,
+		events: forwarded.Events, flushes: forwarded.Flushes, messages: p.MessagesIn.Load() + p.MessagesOut.Load(),
 	}
 }
 
-// processorTime returns the processor time of this process.
+// processorTime returns the processor time used by this process.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -36,20 +35,20 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// gaugeWork copies what the time went to into metrics, and logs it while this
-// router refuses what it has no time for.
-func (n *Node) gaugeWork() {
-	now, before, pace := n.workNow(), n.work, n.Dispatch.LoadStats()
-	n.work = now
+// updateWorkGauges copies the work counters into metrics. While the router sheds load, it
+// also logs the work since the last call.
+func (n *Node) updateWorkGauges() {
+	now, before, load := n.currentWork(), n.lastWork, n.Dispatch.LoadStats()
+	n.lastWork = now
 	n.setGauges(map[string]int64{
-		metrics.Passed: now.events, metrics.Sends: now.sends, metrics.Screened: now.screened,
+		metrics.Passed: now.events, metrics.Sends: now.flushes, metrics.Screened: now.refusedEarly,
 	})
-	n.metrics.Gauge(metrics.Processor, now.processor.Seconds())
-	n.metrics.Gauge(metrics.Late, pace.Lag.Seconds())
-	if pace.AdmitRatio >= 1 {
+	n.metrics.Gauge(metrics.Processor, now.processorTime.Seconds())
+	n.metrics.Gauge(metrics.Late, load.Lag.Seconds())
+	if load.AdmitRatio >= 1 {
 		return
 	}
-	n.log.Info("router_work", "processor_ms", (now.processor - before.processor).Milliseconds(), "late_ms", pace.Lag.Milliseconds(),
-		"part", pace.AdmitRatio, "can_per_s", int(pace.Rate), "requests", now.requests-before.requests, "refused_unseen", now.screened-before.screened,
-		"stream_events", now.events-before.events, "caller_sends", now.sends-before.sends, "peer_messages", now.messages-before.messages)
+	n.log.Info("router_work", "processor_ms", (now.processorTime - before.processorTime).Milliseconds(), "late_ms", load.Lag.Milliseconds(),
+		"part", load.AdmitRatio, "can_per_s", int(load.Rate), "requests", now.requests-before.requests, "refused_unseen", now.refusedEarly-before.refusedEarly,
+		"stream_events", now.events-before.events, "caller_sends", now.flushes-before.flushes, "peer_messages", now.messages-before.messages)
 }
--- a/pkg/fair/fair.go
+++ b/pkg/fair/fair.go
@@ -1,43 +1,42 @@
-// Package fair keeps virtual time: the weighted service of each client
-// account. The account with the least is the next to be served.
+// Package fair implements weighted fair queueing of client accounts by virtual time. The
+// active account with the least virtual time is served next.
 package fair
 
 import "container/heap"
 
-// Account is one account's place in virtual time.
+// Account is the state of a client account in a Queue.
 type Account struct {
-	// Name is the client account.
 	Name string
-	// Weight is above zero.
+	// Weight is positive.
 	Weight float64
-	// VirtualTime is the service charged divided by the weight, plus lifts.
+	// VirtualTime is the charged service divided by the weight, adjusted by Activate.
 	VirtualTime float64
-	// Active says that the account has work waiting; index is then its
-	// place in the heap, and -1 otherwise.
+	// Active means that the account has waiting work.
 	Active bool
-	index  int
+	// index is the position in the heap, -1 if the account is not active.
+	index int
 }
 
 // Queue orders the active accounts by virtual time.
 type Queue struct {
 	accounts map[string]*Account
-	heap     order
-	// floor is the greatest least virtual time seen; it never falls.
+	heap     accountHeap
+	// floor is the greatest value so far of the active accounts' least virtual time.
 	floor float64
-	// debt bounds how far above the floor a returning account may start.
+	// debt limits how far above the floor an account may start again.
 	debt float64
 }
 
-// Option changes a new Queue.
+// Option configures a Queue.
 type Option func(*Queue)
 
-// WithDebt bounds, in virtual tokens, what a returning account still owes.
+// WithDebt sets the limit that DefaultDebt describes.
 func WithDebt(tokens float64) Option {
 	return func(q *Queue) { q.debt = tokens }
 }
 
-// DefaultDebt is the bound on what a returning account still owes, in tokens
-// per unit of weight.
+// DefaultDebt limits how much earlier service counts against an account that becomes active
+// again, in tokens per unit of weight.
 const DefaultDebt = 50_000
 
 // New returns an empty queue.
@@ -49,7 +48,7 @@
 	return q
 }
 
-// Get returns the account, made with weight 1 on first use.
+// Get returns the account. It creates an account with weight 1 if there is none.
 func (q *Queue) Get(name string) *Account {
 	a, ok := q.accounts[name]
 	if !ok {
@@ -59,30 +58,28 @@
 	return a
 }
 
-// SetWeight changes an account's weight from now on; a weight that is not
-// above zero is ignored.
+// SetWeight sets the weight for later charges. It ignores weights that are not positive.
 func (q *Queue) SetWeight(name string, weight float64) {
 	if weight > 0 {
 		q.Get(name).Weight = weight
 	}
 }
 
-// Activate puts an account with work among those to be served. If lift is
-// set, it starts no lower than the least active one and owes at most the
-// queue's debt.
-func (q *Queue) Activate(name string, lift bool) {
+// Activate marks an account as active. If clamp is set, its virtual time is kept between the
+// least of the active accounts and that value plus the debt limit.
+func (q *Queue) Activate(name string, clamp bool) {
 	a := q.Get(name)
 	if a.Active {
 		return
 	}
-	if lift {
+	if clamp {
 		a.VirtualTime = min(max(a.VirtualTime, q.MinVirtualTime()), q.MinVirtualTime()+q.debt)
 	}
 	a.Active = true
 	heap.Push(&q.heap, a)
 }
 
-// Deactivate takes an account without work out.
+// Deactivate marks an account as having no work.
 func (q *Queue) Deactivate(name string) {
 	a, ok := q.accounts[name]
 	if !ok || !a.Active {
@@ -93,7 +90,7 @@
 	heap.Remove(&q.heap, a.index)
 }
 
-// Charge adds tokens, possibly negative, to an account's service.
+// Charge adds tokens to the service of an account. The number may be negative.
 func (q *Queue) Charge(name string, tokens float64) {
 	a := q.Get(name)
 	a.VirtualTime += tokens / a.Weight
@@ -102,8 +99,8 @@
 	}
 }
 
-// MinVirtualTime returns the least virtual time of the active accounts, or the last
-// such value if none is active.
+// MinVirtualTime returns the least virtual time of the active accounts, but never less than
+// it returned before. While no account is active, it keeps its value.
 func (q *Queue) MinVirtualTime() float64 {
 	if len(q.heap) > 0 && q.heap[0].VirtualTime > q.floor {
 		q.floor = q.heap[0].VirtualTime
@@ -119,47 +116,47 @@
 	return q.heap[0], true
 }
 
-// Accounts returns how many accounts the queue remembers.
+// Accounts returns the number of accounts, active or not.
 func (q *Queue) Accounts() int { return len(q.accounts) }
 
-// Drop forgets an account that is not active.
+// Drop removes an account unless it is active.
 func (q *Queue) Drop(name string) {
 	if a, ok := q.accounts[name]; ok && !a.Active {
 		delete(q.accounts, name)
 	}
 }
 
-// order is a heap of accounts; equal times go by name, so runs repeat.
-type order []*Account
+// accountHeap is a heap by virtual time. Ties go by name, so that results are reproducible.
+type accountHeap []*Account
 
-func (o order) Len() int { return len(o) }
+func (h accountHeap) Len() int { return len(h) }
 
-func (o order) Less(i, j int) bool {
-	if o[i].VirtualTime != o[j].VirtualTime {
-		return o[i].VirtualTime < o[j].VirtualTime
+func (h accountHeap) Less(i, j int) bool {
+	if h[i].VirtualTime != h[j].VirtualTime {
+		return h[i].VirtualTime < h[j].VirtualTime
 	}
-	return o[i].Name < o[j].Name
+	return h[i].Name < h[j].Name
 }
 
-func (o order) Swap(i, j int) {
-	o[i], o[j] = o[j], o[i]
-	o[i].index = i
-	o[j].index = j
+func (h accountHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index = i
+	h[j].index = j
 }
 
 // Push implements heap.Interface.
-func (o *order) Push(x any) {
+func (h *accountHeap) Push(x any) {
 	a := x.(*Account)
-	a.index = len(*o)
-	*o = append(*o, a)
+	a.index = len(*h)
+	*h = append(*h, a)
 }
 
 // Pop implements heap.Interface.
-func (o *order) Pop() any {
-	old := *o
+func (h *accountHeap) Pop() any {
+	old := *h
 	a := old[len(old)-1]
 	old[len(old)-1] = nil
-	*o = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	a.index = -1
 	return a
 }
--- a/pkg/fair/fair_test.go
+++ b/pkg/fair/fair_test.go
@@ -8,8 +8,8 @@
 	"github.com/yarrowmast/yarrowmast/pkg/fair"
 )
 
-// serve serves n units of cost to the least account each time and returns
-// what each account got.
+// serve charges the next account n times with the cost and returns the service of each
+// account.
 func serve(q *fair.Queue, n int, cost float64) map[string]float64 {
 	got := map[string]float64{}
 	for range n {
@@ -46,18 +46,20 @@
 	}
 }
 
-func TestReturningAccountNeitherHoardsNorOwes(t *testing.T) {
+// TestReactivatedAccount checks that idle time earns no credit beyond the current virtual
+// time, and that a large debt does not starve an account.
+func TestReactivatedAccount(t *testing.T) {
 	q := fair.New(fair.WithDebt(50))
 	q.Activate("busy", true)
 	serve(q, 100, 10)
 	q.Activate("idle", true)
 	if got := serve(q, 10, 10)["idle"]; got > 60 {
-		t.Errorf("an account that was idle took %v of 100 units at its return", got)
+		t.Errorf("an account that was idle got %v of 100 units when it became active", got)
 	}
 	q.Deactivate("idle")
 	q.Charge("idle", 10_000)
 	q.Activate("idle", true)
 	if got := serve(q, 20, 10)["idle"]; got == 0 {
-		t.Error("an account with a large debt got nothing at its return")
+		t.Error("an account with a large debt got nothing when it became active")
 	}
 }
--- a/pkg/rendezvous/rendezvous.go
+++ b/pkg/rendezvous/rendezvous.go
@@ -1,14 +1,14 @@
-// Package rendezvous computes which member of a set owns a key by highest
-// random weight, so that every router that sees the same members names the
-// same owner and a member's loss moves only its own keys.
+// Package rendezvous implements rendezvous hashing (highest random weight). All routers with
+// the same list of members choose the same owner of a key, and the loss of a member moves
+// only the keys that it owned.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// separator keeps ("ab","c") and ("a","bc") from weighing the same.
+// separator makes ("ab","c") and ("a","bc") hash to different weights.
 const separator = "\x00"
 
-// Weight returns the weight of a member for a key.
+// Weight returns a member's weight for a key.
 func Weight(key, member string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -18,22 +18,22 @@
 	return d.Sum64()
 }
 
-// Owner returns the member with the greatest weight for the key, or "" if
-// there is none. Equal weights go to the lesser name.
+// Owner returns the member with the greatest weight for the key, or "" if there are no
+// members. Ties go to the name that sorts first.
 func Owner(key string, members []string) string {
 	best := ""
-	var most uint64
+	var maxWeight uint64
 	for _, m := range members {
 		w := Weight(key, m)
-		if best == "" || w > most || (w == most && m < best) {
+		if best == "" || w > maxWeight || (w == maxWeight && m < best) {
 			best = m
-			most = w
+			maxWeight = w
 		}
 	}
 	return best
 }
 
-// Owners returns the n members of the greatest weights, greatest first.
+// Owners returns the n members with the greatest weights in descending order.
 func Owners(key string, members []string, n int) []string {
 	rest := append([]string(nil), members...)
 	var owners []string
@@ -45,17 +45,17 @@
 	return owners
 }
 
-func without(members []string, gone string) []string {
+func without(members []string, removed string) []string {
 	kept := members[:0]
 	for _, m := range members {
-		if m != gone {
+		if m != removed {
 			kept = append(kept, m)
 		}
 	}
 	return kept
 }
 
-// WeightHashed returns the weight of a member for a key that is a hash itself.
+// WeightHashed returns a member's weight for a key that is already a hash.
 func WeightHashed(key uint64, member string) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(key)
--- a/pkg/rendezvous/weighted.go
+++ b/pkg/rendezvous/weighted.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Score returns the score of a member for a key where members have unlike
-// capacities: of many keys, each member scores highest for a part that is
-// proportional to its capacity, which must be above zero.
+// Score returns a member's score for a key in weighted rendezvous hashing. The member with
+// the highest score owns the key, so that each member owns a share of the keys proportional
+// to its capacity. The capacity must be positive.
 func Score(key, member string, capacity float64) float64 {
-	// The weight becomes a number between 0 and 1, exclusive.
+	// u is uniform in the open interval (0, 1).
 	u := (float64(Weight(key, member)>>11) + 0.5) / (1 << 53)
 	return -capacity / math.Log(u)
 }
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -1,38 +1,37 @@
-// Package retry bounds retries to a share of the traffic, so that failures
-// are not multiplied by the routers that meet them.
+// Package retry limits retries to a share of the requests, so that failures do not multiply
+// the load.
 package retry
 
-// The defaults.
+// Defaults for New.
 const (
-	// DefaultShare is how many retries each request earns.
+	// DefaultShare is the number of retries that each request adds to the budget.
 	DefaultShare = 0.1
-	// DefaultBurst is how many retries may be saved up.
+	// DefaultBurst is the largest number of retries in the budget.
 	DefaultBurst = 10
 )
 
-// Budget counts what may still be retried. It is not safe for concurrent use.
+// Budget limits retries. It is not safe for concurrent use.
 type Budget struct {
-	// share is earned by each request; saved is between 0 and burst.
-	share float64
-	burst float64
-	saved float64
+	share     float64
+	burst     float64
+	available float64
 }
 
 // New returns a full budget.
 func New(share, burst float64) *Budget {
-	return &Budget{share: share, burst: burst, saved: burst}
+	return &Budget{share: share, burst: burst, available: burst}
 }
 
-// Earn notes a request's first attempt.
+// Earn records the first attempt of a request.
 func (b *Budget) Earn() {
-	b.saved = min(b.burst, b.saved+b.share)
+	b.available = min(b.burst, b.available+b.share)
 }
 
-// Spend takes one retry out and reports whether there was one.
+// Spend takes one retry from the budget and reports whether one was available.
 func (b *Budget) Spend() bool {
-	if b.saved < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.saved--
+	b.available--
 	return true
 }
