--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -17,7 +17,7 @@
 
 // Defaults of a Client.
 const (
-	// DefaultMaxResponse limits a response that is not a stream, in bytes.
+	// DefaultMaxResponse limits a JSON response, in bytes.
 	DefaultMaxResponse = 32 << 20
 	// DefaultIdleTimeout limits how long a backend server may send nothing.
 	DefaultIdleTimeout = 60 * time.Second
@@ -56,10 +56,11 @@
 	Deadline time.Time
 	// NotRepeatable marks a request that must not run twice.
 	NotRepeatable bool
-	// MayStream allows a stream of events whose events or tokens are counted. Otherwise
-	// the response is forwarded unparsed.
+	// MayStream means that the response may be a stream, whose events or tokens are
+	// counted. Otherwise the response is forwarded unparsed.
 	MayStream bool
-	// Opaque means that the data of events is not parsed.
+	// Opaque means that the data of events is not parsed and only their numbers are
+	// checked.
 	Opaque bool
 	// CopyPrefixFrom is the address of a backend server whose cached prompt prefix the
 	// called one copies, "" for none.
@@ -73,12 +74,12 @@
 	// the request can be retried.
 	WithholdServerErrors bool
 	// BufferLimit is the number of bytes of an unparsed response that are read before
-	// the first is forwarded. A shorter response that breaks off can be retried.
+	// the first is forwarded. If it breaks off before that, the request can be retried.
 	BufferLimit int
 	// Failover sets when a request moves from a stalled backend server to another.
 	Failover Failover
-	// MayStart reports whether the lease still holds. It is called again just before
-	// the first byte is sent.
+	// MayStart reports whether the lease is still valid. It is called before dialing and
+	// again before the first byte is sent; nil means that there is no lease.
 	MayStart func() bool
 	// BatchDelay returns how long to wait after an event, so that the following events
 	// are sent together; nil sends each event at once.
@@ -167,7 +168,8 @@
 // WithDialer replaces the plain TCP dialer.
 func WithDialer(d Dialer) Option { return func(o *options) { o.dialer = d } }
 
-// WithMaxResponse limits responses that are not streams, in bytes.
+// WithMaxResponse limits JSON responses, in bytes. Streams and unparsed responses have no
+// limit.
 func WithMaxResponse(n int64) Option { return func(o *options) { o.maxResponse = n } }
 
 // WithIdleTimeout limits how long a backend server may send nothing.
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -30,7 +30,7 @@
 	errNoProof        = errors.New("backend: response has no valid proof of origin")
 )
 
-// roundTrip is the state of one call.
+// roundTrip is the state of a call.
 type roundTrip struct {
 	client *Client
 	call   Call
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -39,8 +39,8 @@
 	return ln, ln.Addr().String()
 }
 
-// startRouter starts a router with one stand-in engine and returns both addresses.
-func startRouter(b *testing.B, rate float64) (routed, direct string) {
+// startRouterAndEngine starts a router with one stand-in engine and returns both addresses.
+func startRouterAndEngine(b *testing.B, rate float64) (routed, direct string) {
 	b.Helper()
 	engineLn, direct := listen(b)
 	verifier := judge.New()
@@ -99,7 +99,7 @@
 // stand-in. Let d(n) be the difference for responses of n chunks: the router adds
 // (d(201) - d(1)) / 200 per chunk.
 func BenchmarkRequest(b *testing.B) {
-	routed, direct := startRouter(b, unlimitedRate)
+	routed, direct := startRouterAndEngine(b, unlimitedRate)
 	for _, target := range []struct{ name, address string }{{"direct", direct}, {"routed", routed}} {
 		for _, chunks := range []int{1, 201} {
 			b.Run(fmt.Sprintf("%s/chunks=%d", target.name, chunks), func(b *testing.B) {
@@ -116,7 +116,7 @@
 
 // BenchmarkParallel measures the request throughput of one router.
 func BenchmarkParallel(b *testing.B) {
-	routed, _ := startRouter(b, unlimitedRate)
+	routed, _ := startRouterAndEngine(b, unlimitedRate)
 	http.DefaultTransport.(*http.Transport).MaxIdleConnsPerHost = benchSlots
 	b.SetParallelism(4)
 	b.RunParallel(func(pb *testing.PB) {
@@ -132,7 +132,7 @@
 // The clients are plain sockets, so that they hardly add to it.
 func BenchmarkWaiting(b *testing.B) {
 	const waiting = 1000
-	routed, _ := startRouter(b, stalledRate)
+	routed, _ := startRouterAndEngine(b, stalledRate)
 	time.Sleep(2 * time.Second)
 	body := `{"model":"m","stream":true,"load_id":"x","load_tokens":1000000000000}`
 	text := fmt.Sprintf("POST /v1/completions HTTP/1.1\r\nHost: r\r\nAuthorization: Bearer key\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
