--- a/internal/backend/notice_test.go
+++ b/internal/backend/notice_test.go
@@ -14,8 +14,8 @@
 	const ok = "HTTP/1.1 200 OK\r\nX-Id: req-1\r\nX-Proof: p\r\nContent-Length: 0\r\n"
 	const refusal = "HTTP/1.1 503 Busy\r\nX-Id: req-1\r\nX-Unrun: 1\r\nContent-Length: 0\r\n"
 	tests := map[string]struct {
-		answer string
-		want   backend.Notice
+		response string
+		want     backend.Notice
 	}{
 		"none":                          {ok, backend.Notice{}},
 		"leaving":                       {ok + "X-Leaves: 1\r\n", backend.Notice{Leaving: true}},
@@ -37,7 +37,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, respond(tc.answer+"\r\n"))
+			s := serve(t, respond(tc.response+"\r\n"))
 			r := doRouted(routedCall(s.ln.Addr().String()), &recorder{})
 			if diff := cmp.Diff(tc.want, r.Notice); diff != "" {
 				t.Errorf("notice (-want +got):\n%s", diff)
--- a/pkg/rendezvous/rendezvous.go
+++ b/pkg/rendezvous/rendezvous.go
@@ -35,12 +35,12 @@
 
 // Owners returns the n members with the greatest weights in descending order.
 func Owners(key string, members []string, n int) []string {
-	rest := append([]string(nil), members...)
+	remaining := append([]string(nil), members...)
 	var owners []string
-	for len(owners) < n && len(rest) > 0 {
-		o := Owner(key, rest)
+	for len(owners) < n && len(remaining) > 0 {
+		o := Owner(key, remaining)
 		owners = append(owners, o)
-		rest = without(rest, o)
+		remaining = without(remaining, o)
 	}
 	return owners
 }
