--- a/internal/dispatch/fleet_flood_test.go
+++ b/internal/dispatch/fleet_flood_test.go
@@ -87,7 +87,7 @@
 // probe is a lag measurement and the time at which it is read.
 type probe struct{ readAt, delay time.Duration }
 
-// overloadModel is the whole model.
+// overloadModel simulates the fleet and its accounts.
 type overloadModel struct {
 	rng      *rand.Rand
 	routers  []*fleetRouter
--- a/internal/dispatch/rosters.go
+++ b/internal/dispatch/rosters.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// sendRosterEntries adds the entries that in selects to a message and sends it.
+// sendRosterEntries adds the entries for which include returns true to a message and sends it.
 func (s *state) sendRosterEntries(to string, m *wire.Roster, include func(address string) bool) {
 	for _, k := range s.roster.Members(s.now) {
 		if include(k.Address) {
