--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -224,7 +224,7 @@
 	}
 }
 
-// drainEvent refuses all waiting requests.
+// drainEvent refuses all waiting requests, if accounts are served by weights.
 type drainEvent struct{}
 
 func (drainEvent) apply(s *state) {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -299,7 +299,8 @@
 // Table implements front.Scheduler.
 func (d *Dispatcher) Table() *table.Table { return d.shared.table.Load() }
 
-// Drain announces to other routers that this one stops, and refuses waiting requests.
+// Drain announces to other routers that this one stops. If accounts are served by weights, it
+// also refuses waiting requests.
 func (d *Dispatcher) Drain() {
 	d.shared.draining.Store(true)
 	d.post(drainEvent{})
