--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -12,172 +12,169 @@
 	"github.com/yarrowmast/yarrowmast/pkg/suspect"
 )
 
-// state is what the task owns.
+// state is the state that the event loop owns.
 type state struct {
-	d       *Dispatcher
-	now     time.Duration
-	lastRun time.Duration
-	// suspended is for how long the machine had been suspended by lastRun.
+	d           *Dispatcher
+	now         time.Duration
+	lastEventAt time.Duration
+	// suspended is the total time that the machine had been suspended by lastEventAt.
 	suspended time.Duration
 	core      *admit.Core
 	catalog   *catalog.Catalog
 	roster    *roster.Roster
 	allowance *allowance.Allowance
-	rule      allowance.Rule
-	links     map[string]*link
-	pace      *admit.CapacityEstimator
+	retryRule allowance.Rule
+	peerLinks map[string]*link
+	estimator *admit.CapacityEstimator
 	nextID    uint64
 	waiting   map[uint64]*attempt
-	// When others were told last, one was told whom this one knows, news were asked for,
-	// the status was renewed, the screen was, the shares were logged, and this router could
-	// not keep up.
-	toldAt, gossiped, askedNews, status, screened, sharesAt, overloadedAt time.Duration
-	// limitedAt is when there was no time for all last, 0 if never.
-	limitedAt time.Duration
-	// talk is whom this router tells what, digest that of its roster.
-	talk   roster.Plan
-	digest uint64
-	// changes counts the changes of the roster, changed is with which of them
-	// each router in it came to be told as it is.
-	changes uint64
-	changed map[string]rosterChange
-	// keys is this router's part in the use of idempotency keys.
-	keys *keys
-	// served counts the tokens of requests that run, by their ids, where accounts are served
-	// by their weights.
-	served map[uint64]*atomic.Int64
-	// loads ends the readers of loads by the names of backend servers; ownedAt is when was
-	// last looked which are owned.
-	loads   map[string]context.CancelFunc
-	ownedAt time.Duration
-	// ending is the caller's id of the request whose attempt's end is taken in now.
-	ending string
-	// cleared counts ends of requests that are not remembered any more, by the reason.
-	cleared map[suspect.Reason]int64
-	// suspectsAt is when a router was last told of all suspects, suspectsTo how many
-	// were.
-	suspectsAt time.Duration
-	suspectsTo int
-	// untrusted are the backend servers that were last logged as such.
-	untrusted map[string]admit.Ejection
-	// routers are those that the core was last told of, known how many it was told
-	// are known in each zone.
-	routers []admit.Router
-	known   map[string]int
-	left    bool
-	// membersAt is when they were last worked out, membersDue that they are to be anew.
-	membersAt  time.Duration
-	membersDue bool
-	// all is what was last told to who knew nothing.
-	all allNews
-	// closed are the availability zones that were closed by the last table.
-	closed   []string
-	unusable unusableLog
-	// neighbours is how many routers connections may be handed to.
-	neighbours int
-	// hosts are those of the routers, nil until they are looked up after a change.
-	hosts map[string]bool
+	// Times of the last reports to other routers, roster gossip, update request, status,
+	// admission plan, log line of shares, and overload.
+	reportedAt, gossipedAt, updateRequestedAt, statusAt, admissionAt, sharesLoggedAt, overloadedAt time.Duration
+	// saturatedAt is when the router last lacked processor time for a request, 0 if never.
+	saturatedAt time.Duration
+	// peerPlan lists the routers to exchange reports with. rosterDigest is the digest of
+	// the own roster.
+	peerPlan     roster.Plan
+	rosterDigest uint64
+	// rosterVersion counts changes of the roster. rosterChanges holds the version at which
+	// each router last changed.
+	rosterVersion uint64
+	rosterChanges map[string]rosterChange
+	keys          *idempotencyKeys
+	// tokenCounts counts the tokens of running requests by id, if accounts are served by
+	// weights.
+	tokenCounts map[uint64]*atomic.Int64
+	// loadReaders holds the function that stops each load reader, by backend server.
+	loadReaders    map[string]context.CancelFunc
+	ownedCheckedAt time.Duration
+	// endingRequest is the id of the request whose end is being processed, for logs.
+	endingRequest string
+	// clearedCrashes counts crashes that are no longer tracked, by reason.
+	clearedCrashes map[suspect.Reason]int64
+	// suspectsSentAt is when all suspects were last sent, suspectsSent how many times.
+	suspectsSentAt time.Duration
+	suspectsSent   int
+	// ejected holds the ejected backend servers that were last logged.
+	ejected map[string]admit.Ejection
+	// routers and knownByZone are the routers, and the number of known routers by zone,
+	// that were last passed to the core.
+	routers     []admit.Router
+	knownByZone map[string]int
+	leaving     bool
+	// membersDirty is true if membership must be recomputed at a later tick.
+	membersUpdatedAt time.Duration
+	membersDirty     bool
+	// fullUpdate is the last full update sent to routers that know nothing.
+	fullUpdate cachedUpdate
+	// closedZones are the closed availability zones of the last table.
+	closedZones     []string
+	unusableLimiter logLimiter
+	// forwardPeers is the number of routers that connections may be forwarded to.
+	forwardPeers int
+	// routerHostSet caches the hosts of the live routers, nil after a change.
+	routerHostSet map[string]bool
 }
 
-// keepPart of the time within which changes are to be in force is for how long
-// backend servers are kept whose entries vanish together.
-const keepPart = 0.6
+// removalGraceFraction of the apply time is how long backend servers stay in use if their
+// entries vanish together.
+const removalGraceFraction = 0.6
 
-// missingPart is the same for those that a platform which came back from a copy does not list:
-// a backend server enters itself again with its next heartbeat, and one that was removed is
-// out in time.
-const missingPart = 0.75
+// unlistedGraceFraction of the apply time is how long backend servers stay in use that a
+// platform restored from a backup does not list. Live servers register again with their next
+// heartbeat.
+const unlistedGraceFraction = 0.75
 
 func newState(d *Dispatcher) *state {
 	self := roster.Member{Address: d.id.Address, Name: d.id.Name, Zone: d.id.Zone, Inc: d.id.Incarnation, Capacity: d.id.Capacity}
 	now := d.now()
 	s := &state{
-		d: d, now: now, lastRun: now, suspended: d.opt.clock.Suspended(),
-		core:      admit.New(admit.Router{Address: d.id.Address, Zone: d.id.Zone, Capacity: d.id.Capacity}, append(d.opt.core, admit.WithSeed(d.id.Incarnation))...),
-		roster:    roster.New(self, d.opt.seeds),
-		allowance: allowance.New(d.opt.rule, now),
-		rule:      d.opt.rule,
-		links:     map[string]*link{},
-		keys:      newKeys(d.id.Address, now, d.opt.wall()),
-		served:    map[uint64]*atomic.Int64{},
-		loads:     map[string]context.CancelFunc{},
-		cleared:   map[suspect.Reason]int64{},
-		pace:      admit.NewCapacityEstimator(d.id.Capacity),
-		waiting:   map[uint64]*attempt{},
+		d: d, now: now, lastEventAt: now, suspended: d.opt.clock.Suspended(),
+		core:           admit.New(admit.Router{Address: d.id.Address, Zone: d.id.Zone, Capacity: d.id.Capacity}, append(d.opt.coreOptions, admit.WithSeed(d.id.Incarnation))...),
+		roster:         roster.New(self, d.opt.seeds),
+		allowance:      allowance.New(d.opt.retryRule, now),
+		retryRule:      d.opt.retryRule,
+		peerLinks:      map[string]*link{},
+		keys:           newIdempotencyKeys(d.id.Address, now, d.opt.wallClock()),
+		tokenCounts:    map[uint64]*atomic.Int64{},
+		loadReaders:    map[string]context.CancelFunc{},
+		clearedCrashes: map[suspect.Reason]int64{},
+		estimator:      admit.NewCapacityEstimator(d.id.Capacity),
+		waiting:        map[uint64]*attempt{},
 	}
-	part := func(p float64) time.Duration { return time.Duration(p * float64(d.opt.applyWithin)) }
-	s.catalog = catalog.New(catalog.WithRemovalGrace(part(keepPart)), catalog.WithUnlistedGrace(part(missingPart)), catalog.WithOwnAddress(s.isOwn))
+	scale := func(p float64) time.Duration { return time.Duration(p * float64(d.opt.applyWithin)) }
+	s.catalog = catalog.New(catalog.WithRemovalGrace(scale(removalGraceFraction)), catalog.WithUnlistedGrace(scale(unlistedGraceFraction)), catalog.WithOwnAddress(s.isRouterAddress))
 	return s
 }
 
-// pausedAfter is a gap between two steps that means the process was paused.
-const pausedAfter = 300 * time.Millisecond
+// pauseThreshold is the gap between two events that counts as a pause of the process.
+const pauseThreshold = 300 * time.Millisecond
 
 func (s *state) apply(ev event) {
 	s.now = s.d.now()
-	s.notePause()
+	s.detectPause()
 	ev.apply(s)
 	if s.core.HasSuspectUpdates() {
-		s.tellSuspects()
+		s.sendSuspectUpdates()
 	}
 }
 
-// notePause takes in that this router stood still, and logs by how much each clock moved.
-func (s *state) notePause() {
-	gap, suspended := s.now-s.lastRun, s.d.opt.clock.Suspended()
-	if gap >= pausedAfter {
-		s.stoodStill(s.lastRun)
-		missing := suspended - s.suspended
-		s.d.opt.log.Warn("router_was_paused", "gap_ms", gap.Milliseconds(), "suspended_ms", missing.Milliseconds(), "steady_ms", (gap - missing).Milliseconds())
+// detectPause detects that the process was paused, and logs by how much each clock advanced.
+func (s *state) detectPause() {
+	gap, suspended := s.now-s.lastEventAt, s.d.opt.clock.Suspended()
+	if gap >= pauseThreshold {
+		s.recordPause(s.lastEventAt)
+		suspendedInGap := suspended - s.suspended
+		s.d.opt.log.Warn("router_was_paused", "gap_ms", gap.Milliseconds(), "suspended_ms", suspendedInGap.Milliseconds(), "steady_ms", (gap - suspendedInGap).Milliseconds())
 	}
-	s.lastRun, s.suspended = s.now, suspended
+	s.lastEventAt, s.suspended = s.now, suspended
 }
 
-// stoodStill takes in that this router did nothing since a moment.
-func (s *state) stoodStill(from time.Duration) {
+// recordPause adjusts the state after a pause that began at from.
+func (s *state) recordPause(from time.Duration) {
 	s.roster.RecordPause(from, s.now)
-	if s.now-from >= vouchesUpTo {
-		s.keys.homes.Woke(s.now + s.keys.wall)
+	if s.now-from >= maxVouchPause {
+		s.keys.homes.Woke(s.now + s.keys.wallOffset)
 	}
 }
 
-// step lets the core take an event and does what it says.
+// step passes an event to the core and executes the resulting actions.
 func (s *state) step(ev admit.Event) {
 	for _, a := range s.core.Step(s.now, ev) {
 		switch a := a.(type) {
 		case admit.Start:
-			s.reply(a.ID, decision{start: a, waited: a.Waited, served: s.countFor(a.ID)})
+			s.reply(a.ID, decision{start: a, waited: a.Waited, tokens: s.newTokenCounter(a.ID)})
 		case admit.Refuse:
-			s.logHeldBack(a)
+			s.logBlocked(a)
 			s.reply(a.ID, decision{err: a.Err, waited: a.Waited})
 		case admit.Send:
 			s.d.net.Send(a.To, a.Msg)
 		case admit.SuspectAdded:
-			s.logSuspected(a)
+			s.logCrash(a)
 		case admit.SuspectCleared:
-			s.noteCleared(a)
+			s.recordCleared(a)
 		case admit.NoticeReceived:
 			s.d.opt.log.Warn("backend_word", "backend", a.Backend, "leaving", a.Leaving, "rest_ms", a.Backoff.Milliseconds(), "from", a.From)
 		}
 	}
 }
 
-type ticked struct{}
+type tickEvent struct{}
 
-func (ticked) apply(s *state) {
-	s.catalog.MarkVerified(time.Duration(s.d.shared.verified.Load()))
+func (tickEvent) apply(s *state) {
+	s.catalog.MarkVerified(time.Duration(s.d.shared.lastVerified.Load()))
 	if s.catalog.Refresh(s.now) {
-		s.inForce("")
+		s.applyTable("")
 	}
-	s.noteProgress()
+	s.reportProgress()
 	s.step(admit.Tick{})
-	s.tickKeys()
-	s.followLoads()
-	if s.membersDue {
-		s.heardOfMembers()
+	s.expireClaims()
+	s.updateLoadReaders()
+	if s.membersDirty {
+		s.scheduleMembersUpdate()
 	}
-	s.screenIfDue()
-	s.tellOthers()
-	s.tellSuspects()
-	s.publish()
+	s.updateAdmission()
+	s.sendReports()
+	s.sendSuspectUpdates()
+	s.publishStatus()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -215,7 +215,7 @@
 		dispatch.WithRetryBudget(retryBudget(s.Retries)), dispatch.WithForwarder(n.forwarder), dispatch.WithClock(n.clock),
 	}
 	if p.Backends.Instance != "" {
-		opts = append(opts, dispatch.WithUniqueStarts())
+		opts = append(opts, dispatch.WithUniqueIncarnations())
 	}
 	n.Dispatch = dispatch.New(id, p.Source(s.Platform, o.dialer), n.Peers, opts...)
 }
@@ -228,7 +228,7 @@
 	n.loads = backend.NewLoadReader(o.dialer)
 	n.Dispatch = dispatch.New(id, values.New(n.Platform), n.Peers,
 		dispatch.WithLogger(n.log), dispatch.WithSeeds(s.Seeds), dispatch.WithApplyWithin(s.ApplyWithin),
-		dispatch.WithRetryBudget(retryBudget(s.Retries)), dispatch.WithClock(n.clock), dispatch.WithWeights(), dispatch.WithLoadReader(n.loads))
+		dispatch.WithRetryBudget(retryBudget(s.Retries)), dispatch.WithClock(n.clock), dispatch.WithWeightedAccounts(), dispatch.WithLoadReader(n.loads))
 }
 
 // forwardedBatchShare is the share of the event delay limit for which responses to another
