--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -71,8 +71,8 @@
 		Ahead: got.start.TokensAhead, Expected: got.start.ExpectedDelay, Running: got.start.Running,
 		Served: got.served, Waited: r.Waited + got.waited,
 		First:   func() { d.post(began{got.id}) },
-		Said:    func(w backend.Said) { d.post(said{got.id, w}) },
-		Hurried: d.Hurried,
+		Said:    func(w backend.Notice) { d.post(said{got.id, w}) },
+		Hurried: d.Saturated,
 		// A router that stood still for longer has lost its place to another.
 		MayStart: func() bool { return d.now()-got.at < d.startWithin() },
 	}, nil
@@ -246,11 +246,11 @@
 
 type said struct {
 	id   uint64
-	word backend.Said
+	word backend.Notice
 }
 
 func (e said) apply(s *state) {
-	s.step(admit.BackendNotice{ID: e.id, Leaving: e.word.Leaving, Backoff: e.word.Rest})
+	s.step(admit.BackendNotice{ID: e.id, Leaving: e.word.Leaving, Backoff: e.word.RetryAfter})
 }
 
 type ended struct {
@@ -266,7 +266,7 @@
 }
 
 func (e ended) apply(s *state) {
-	result := blamed(e.result, s.d.Hurried())
+	result := blamed(e.result, s.d.Saturated())
 	s.ending = e.request
 	delete(s.served, e.id)
 	s.step(admit.AttemptEnd{ID: e.id, Tokens: e.tokens, Result: result, Digest: e.digest, Disconnected: e.cut && result != admit.Unknown, Completed: e.whole})
