--- a/pkg/admit/account.go
+++ b/pkg/admit/account.go
@@ -7,240 +7,241 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// rate is a flow of tokens, faded over a time constant.
+// rate is an exponentially decaying rate in units per second.
 type rate struct {
-	value float64
-	at    time.Duration
-	// over is the time constant, 0 for rateTime.
-	over time.Duration
+	value     float64
+	updatedAt time.Duration
+	// tau is the time constant, 0 for rateTimeConstant.
+	tau time.Duration
 }
 
-// latelyTime is the time constant of what was asked lately.
-const latelyTime = 250 * time.Millisecond
+// recentTimeConstant applies to recentDemand.
+const recentTimeConstant = 250 * time.Millisecond
 
-// rateTime is the time constant of rates: short against the seconds for which
-// an account may be treated unevenly, long against single requests.
-const rateTime = time.Second
+// rateTimeConstant is short compared with the period over which accounts are to be treated
+// evenly, and long compared with single requests.
+const rateTimeConstant = time.Second
 
-func (r *rate) fade(now time.Duration) {
-	if d := now - r.at; d > 0 {
+func (r *rate) decay(now time.Duration) {
+	if d := now - r.updatedAt; d > 0 {
 		r.value *= math.Exp(-d.Seconds() / r.timeConstant().Seconds())
-		r.at = now
+		r.updatedAt = now
 	}
 }
 
-// add counts tokens that flow now.
+// add counts tokens at the given time.
 func (r *rate) add(now time.Duration, tokens float64) {
-	r.fade(now)
+	r.decay(now)
 	r.value += tokens / r.timeConstant().Seconds()
 }
 
 func (r *rate) timeConstant() time.Duration {
-	if r.over > 0 {
-		return r.over
+	if r.tau > 0 {
+		return r.tau
 	}
-	return rateTime
+	return rateTimeConstant
 }
 
-// get returns the flow in tokens a second.
+// get returns the rate in tokens per second.
 func (r *rate) get(now time.Duration) float64 {
-	r.fade(now)
+	r.decay(now)
 	return r.value
 }
 
-// flow is what an account asks and gets, in tokens a second.
+// flow is an account's demand and the rate of its started requests, in tokens per second.
 type flow struct {
-	asked, begun float64
+	demand, started float64
 }
 
-// account is a client account as this router sees it.
+// account is the usage of a client account as this router knows it.
 type account struct {
-	asked, begun rate
-	// lately is what was asked here in the last moment, to notice a flood that ebbs.
-	lately rate
-	// others is the sum of what other routers last told.
-	others flow
+	demand, started rate
+	// recentDemand is this router's demand with a short time constant, to detect the end of an
+	// overload.
+	recentDemand rate
+	// peers is the sum of the last reports of other routers.
+	peers flow
 }
 
-// accounts shares out the engines' tokens among accounts, each as much as it
-// asks up to a level that is the same for all.
+// accounts divides the engines' throughput among accounts by max-min fairness: each gets what
+// it demands up to a fair share that is the same for all.
 type accounts struct {
-	by       map[wire.Key]*account
-	capacity float64
-	level    float64
-	leveled  time.Duration
+	byKey       map[wire.Key]*account
+	capacity    float64
+	fairShare   float64
+	fairShareAt time.Duration
 }
 
-func newAccounts() *accounts { return &accounts{by: map[wire.Key]*account{}, level: math.Inf(1)} }
+func newAccounts() *accounts {
+	return &accounts{byKey: map[wire.Key]*account{}, fairShare: math.Inf(1)}
+}
 
 func (as *accounts) get(key wire.Key) *account {
-	a, ok := as.by[key]
+	a, ok := as.byKey[key]
 	if !ok {
-		a = &account{lately: rate{over: latelyTime}}
-		as.by[key] = a
+		a = &account{recentDemand: rate{tau: recentTimeConstant}}
+		as.byKey[key] = a
 	}
 	return a
 }
 
 func (a *account) flow(now time.Duration) flow {
 	return flow{
-		asked: a.asked.get(now) + a.others.asked,
-		begun: a.begun.get(now) + a.others.begun,
+		demand:  a.demand.get(now) + a.peers.demand,
+		started: a.started.get(now) + a.peers.started,
 	}
 }
 
-// count adds what a router told to the sums, or takes it away.
-func (as *accounts) count(flows map[wire.Key]flow, sign float64) {
+// addPeerFlows adds a report of another router to the sums, or subtracts it if sign is -1.
+func (as *accounts) addPeerFlows(flows map[wire.Key]flow, sign float64) {
 	for key, f := range flows {
 		a := as.get(key)
-		a.others.asked = max(0, a.others.asked+sign*f.asked)
-		a.others.begun = max(0, a.others.begun+sign*f.begun)
+		a.peers.demand = max(0, a.peers.demand+sign*f.demand)
+		a.peers.started = max(0, a.peers.started+sign*f.started)
 	}
 }
 
-// own returns this router's own flows.
-func (as *accounts) own(now time.Duration) map[wire.Key]flow {
-	flows := make(map[wire.Key]flow, len(as.by))
-	for key, a := range as.by {
-		f := flow{asked: a.asked.get(now), begun: a.begun.get(now)}
-		if f.asked >= 1 || f.begun >= 1 {
+// ownFlows returns this router's flows that are not negligible.
+func (as *accounts) ownFlows(now time.Duration) map[wire.Key]flow {
+	flows := make(map[wire.Key]flow, len(as.byKey))
+	for key, a := range as.byKey {
+		f := flow{demand: a.demand.get(now), started: a.started.get(now)}
+		if f.demand >= 1 || f.started >= 1 {
 			flows[key] = f
 		}
 	}
 	return flows
 }
 
-// unbounded is the level where all get what they ask.
-var unbounded = math.Inf(1)
+// unlimited is the fair share if all demand can be met.
+var unlimited = math.Inf(1)
 
-// levelEvery is how often the level is worked out anew.
-const levelEvery = 50 * time.Millisecond
+// fairShareInterval is the interval at which the fair share is recomputed.
+const fairShareInterval = 50 * time.Millisecond
 
-// over returns by how many times an account's service exceeds the level.
-func (as *accounts) over(key wire.Key, now time.Duration) float64 {
-	as.refresh(now)
-	begun := as.get(key).flow(now).begun
-	if math.IsInf(as.level, 1) || as.level <= 0 {
+// usageRatio returns the rate of an account's started requests relative to the fair share, 0 if
+// that is unlimited.
+func (as *accounts) usageRatio(key wire.Key, now time.Duration) float64 {
+	as.refreshFairShare(now)
+	started := as.get(key).flow(now).started
+	if math.IsInf(as.fairShare, 1) || as.fairShare <= 0 {
 		return 0
 	}
-	return begun / as.level
+	return started / as.fairShare
 }
 
-// backlogged reports whether an account asks for more than the level.
+// backlogged reports whether an account's demand exceeds the fair share.
 func (as *accounts) backlogged(key wire.Key, now time.Duration) bool {
-	as.refresh(now)
-	return as.get(key).flow(now).asked > as.level
+	as.refreshFairShare(now)
+	return as.get(key).flow(now).demand > as.fairShare
 }
 
-// refresh works the level out anew where that is due.
-func (as *accounts) refresh(now time.Duration) {
-	if now-as.leveled >= levelEvery {
-		as.leveled = now
-		as.level = as.workOut(now)
+// refreshFairShare recomputes the fair share if that is due.
+func (as *accounts) refreshFairShare(now time.Duration) {
+	if now-as.fairShareAt >= fairShareInterval {
+		as.fairShareAt = now
+		as.fairShare = as.computeFairShare(now)
 	}
 }
 
-// tryOver is how many times its level an account may try to get, since some of what
-// it tries finds no place. Learned from how many found none, up to four times, it
-// earned nothing (worth 0.759 and 0.766 of one, at 85 routers, one loaded day each).
-const tryOver = 1.5
+// overcommit is the multiple of the fair share up to which an account's requests are admitted,
+// since some of them get no slot.
+const overcommit = 1.5
 
-// AdmitFractions returns the accounts that ask for much more than they can get, and
-// the part of their requests that is to be tried; the rest has no chance and
-// is best refused before any work is spent on it.
+// AdmitFractions returns, for each account whose demand far exceeds its fair share, the
+// fraction of its requests to admit. The others would get no slot and should be refused before
+// any work is done for them.
 func (c *Core) AdmitFractions(now time.Duration) map[wire.Key]float64 {
 	as := c.accounts
-	as.refresh(now)
-	if math.IsInf(as.level, 1) || as.level <= 0 {
+	as.refreshFairShare(now)
+	if math.IsInf(as.fairShare, 1) || as.fairShare <= 0 {
 		return nil
 	}
-	var parts map[wire.Key]float64
-	behind := as.someoneIsBehind(now)
-	for key, a := range as.by {
+	var fractions map[wire.Key]float64
+	lagging := as.anyLagging(now)
+	for key, a := range as.byKey {
 		f := a.flow(now)
-		asked, tries := a.askedNow(now, f), tryOver*as.level
-		if behind && f.begun > as.level {
-			tries = as.level
+		demand, limit := a.currentDemand(now, f), overcommit*as.fairShare
+		if lagging && f.started > as.fairShare {
+			limit = as.fairShare
 		}
-		if key == 0 || asked <= tries {
+		if key == 0 || demand <= limit {
 			continue
 		}
-		if parts == nil {
-			parts = map[wire.Key]float64{}
+		if fractions == nil {
+			fractions = map[wire.Key]float64{}
 		}
-		parts[key] = tries / asked
+		fractions[key] = limit / demand
 	}
-	return parts
+	return fractions
 }
 
-// laggingPart of the level is what an account that waits must have begun at least for
-// others to try to get more than their level. The promise is half of the best served one's.
-const laggingPart = 0.7
+// laggingFraction of its fair share is the least that a waiting account must get for others to
+// be admitted above theirs.
+const laggingFraction = 0.7
 
-// laggingFrom is the part of the level that such an account asks for at least: the flows of
-// small ones are a request now and then, of which each waits for some time.
-const laggingFrom = 0.5
+// laggingMinDemand is the least demand of such an account relative to the fair share. The rates
+// of smaller accounts vary too much.
+const laggingMinDemand = 0.5
 
-// someoneIsBehind reports whether an account that waits has begun so little of its level,
-// as when its callers reach few small routers, that no other may have more than the level:
-// what the engines have left then would only make the gap wider.
-func (as *accounts) someoneIsBehind(now time.Duration) bool {
-	for key, a := range as.by {
+// anyLagging reports whether a waiting account gets so much less than its fair share that no
+// other one may get more than its own.
+func (as *accounts) anyLagging(now time.Duration) bool {
+	for key, a := range as.byKey {
 		f := a.flow(now)
-		if key != 0 && f.asked > waitsFrom*f.begun && f.asked >= laggingFrom*as.level && f.begun < laggingPart*min(f.asked, as.level) {
+		if key != 0 && f.demand > waitingThreshold*f.started && f.demand >= laggingMinDemand*as.fairShare && f.started < laggingFraction*min(f.demand, as.fairShare) {
 			return true
 		}
 	}
 	return false
 }
 
-// CountRefused counts what was asked for by requests that were refused unseen.
+// CountRefused adds the demand of requests that were refused before they reached Step.
 func (c *Core) CountRefused(now time.Duration, account wire.Key, tokens float64) {
-	c.accounts.get(account).ask(now, tokens)
+	c.accounts.get(account).addDemand(now, tokens)
 }
 
-// ask counts what is asked for here.
-func (a *account) ask(now time.Duration, tokens float64) {
-	a.asked.add(now, tokens)
-	a.lately.add(now, tokens)
+// addDemand counts demand at this router.
+func (a *account) addDemand(now time.Duration, tokens float64) {
+	a.demand.add(now, tokens)
+	a.recentDemand.add(now, tokens)
 }
 
-// ebbing is the part of what was asked here over rateTime below which less that is asked
-// lately means that a flood ebbs, and not that its requests come in clumps.
-const ebbing = 0.7
+// decliningBelow is the ratio of recentDemand to demand below which the demand counts as
+// declining rather than bursty.
+const decliningBelow = 0.7
 
-// askedNow returns what an account asks for all over the fleet, of which what is asked
-// here as it is by now: where all of its callers come here, its share would else be taken
-// of what it asked a second ago, and a third of its requests refused though it asks for
-// less than the level (295 routers, seconds after a flood).
-func (a *account) askedNow(now time.Duration, f flow) float64 {
-	own, lately := a.asked.get(now), a.lately.get(now)
-	if lately >= ebbing*own {
-		return f.asked
+// currentDemand returns an account's demand in the whole fleet. If it declines at this router,
+// the recent demand replaces the slower average, which would otherwise reduce the admitted
+// fraction for some time after an overload.
+func (a *account) currentDemand(now time.Duration, f flow) float64 {
+	own, recent := a.demand.get(now), a.recentDemand.get(now)
+	if recent >= decliningBelow*own {
+		return f.demand
 	}
-	return f.asked - own + lately
+	return f.demand - own + recent
 }
 
-// Cost is what a request counts as for its account, in tokens.
+// Cost returns what a request is charged to its account, in tokens.
 func Cost(prompt, output int64) float64 { return float64(prompt + outputCost*output) }
 
-// workOut returns the level up to which what accounts ask adds up to what
-// they are given all together.
-func (as *accounts) workOut(now time.Duration) float64 {
-	asks := make([]float64, 0, len(as.by))
-	total, small := 0.0, 0.0
-	for key, a := range as.by {
+// computeFairShare returns the fair share at which all accounts together get the available
+// throughput.
+func (as *accounts) computeFairShare(now time.Duration) float64 {
+	demands := make([]float64, 0, len(as.byKey))
+	total, aggregate := 0.0, 0.0
+	for key, a := range as.byKey {
 		f := a.flow(now)
-		total += f.begun
+		total += f.started
 		if key == 0 {
-			// Many accounts told as one: each asks less than those told singly.
-			small = f.asked
+			// Key 0 is the sum of many accounts, each smaller than those reported by name.
+			aggregate = f.demand
 			continue
 		}
-		if f.asked > 0 {
-			asks = append(asks, max(f.asked, f.begun))
+		if f.demand > 0 {
+			demands = append(demands, max(f.demand, f.started))
 		}
 	}
 	total = max(total, as.capacity)
-	return fill(asks, max(0, total-small))
+	return maxMinShare(demands, max(0, total-aggregate))
 }
--- a/pkg/admit/alive.go
+++ b/pkg/admit/alive.go
@@ -6,48 +6,48 @@
 	"github.com/yarrowmast/yarrowmast/pkg/suspect"
 )
 
-// span is a time, from and up to two moments; it is empty if to is not after from.
-type span struct{ from, to time.Duration }
+// interval is the half-open time interval [from, to). It is empty unless to is after from.
+type interval struct{ from, to time.Duration }
 
-func (x span) holds(at time.Duration) bool { return x.from <= at && at < x.to }
+func (x interval) contains(at time.Duration) bool { return x.from <= at && at < x.to }
 
-// aliveMargin is left out of the time between a request's sending and its answer, at both
-// ends: a connection may have been opened some time after the request was given its place,
-// and what is heard now may have been sent before the backend server ended.
+// aliveMargin is cut off both ends of the interval between a request and its response: the
+// connection may have been opened after the slot was granted, and the response may have been
+// sent before a crash.
 const aliveMargin = 500 * time.Millisecond
 
-// pausedFor is a gap between two steps that means that this router stood still: it is due a
-// step each 50 ms at the least.
-const pausedFor = 300 * time.Millisecond
+// pauseThreshold is the gap between two steps that counts as a pause of the process. Steps are
+// due at least every 50 ms.
+const pauseThreshold = 300 * time.Millisecond
 
-// notePause notes that this router stood still until now, if it did.
-func (c *Core) notePause(now time.Duration) {
-	if c.started > 0 && now-c.now >= pausedFor {
-		c.stood = span{from: c.now, to: now}
+// detectPause records a pause that ends now.
+func (c *Core) detectPause(now time.Duration) {
+	if c.startedAt > 0 && now-c.now >= pauseThreshold {
+		c.pause = interval{from: c.now, to: now}
 	}
 }
 
-// lives takes in that a backend server answers a request which it was sent at a time: the
-// start that took it has not ended meanwhile. An answer to what was sent after an end says that
-// it had not ended only where no other start can bear its name: servers may start again under
-// their names before the directory tells.
-func (c *Core) lives(s *server, sent time.Duration) {
-	s.heard = c.now
-	if c.opt.uniqueStarts && s.Born == 0 {
-		s.alive = span{to: max(s.alive.to, sent)}
+// confirmAlive records that a backend server responded to a request sent at the given time, so
+// that its incarnation did not crash in between. If a backend server may restart under the same
+// name before the directory shows it, a response says nothing about the time before the request
+// was sent.
+func (c *Core) confirmAlive(s *server, sent time.Duration) {
+	s.answeredAt = c.now
+	if c.opt.uniqueIncarnations && s.Born == 0 {
+		s.alive = interval{to: max(s.alive.to, sent)}
 		c.suspects.Lives(suspect.Server(s.key), s.alive.from, s.alive.to)
 	}
-	now := span{from: sent + aliveMargin, to: c.now - aliveMargin - waysHeard*c.late}
-	if sent < c.stood.to {
-		// It may have been answered at any moment while this router stood still.
-		now.to = min(now.to, c.stood.from)
+	alive := interval{from: sent + aliveMargin, to: c.now - aliveMargin - delayFactor*c.delay}
+	if sent < c.pause.to {
+		// The response may have arrived at any time during a pause of this process.
+		alive.to = min(alive.to, c.pause.from)
 	}
-	if now.to <= now.from {
+	if alive.to <= alive.from {
 		return
 	}
-	if now.from <= s.alive.to && s.alive.from <= now.to {
-		now = span{from: min(now.from, s.alive.from), to: max(now.to, s.alive.to)}
+	if alive.from <= s.alive.to && s.alive.from <= alive.to {
+		alive = interval{from: min(alive.from, s.alive.from), to: max(alive.to, s.alive.to)}
 	}
-	s.alive = now
-	c.suspects.Lives(suspect.Server(s.key), now.from, now.to)
+	s.alive = alive
+	c.suspects.Lives(suspect.Server(s.key), alive.from, alive.to)
 }
--- a/pkg/admit/caution.go
+++ b/pkg/admit/caution.go
@@ -9,136 +9,135 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// A request under which backend servers ended is placed with care: one try of it at a time,
-// so that each end is heard of before the next try; from the second end on with nothing new
-// beside it, so that an end costs few others; and not at all once three ended. A request
-// that only was there is placed like any other as soon as it has run to its end.
+// A request under which backend servers crashed is isolated, so that it crashes few others.
+// After the first crash only one attempt of it runs at a time, so that its result is known
+// before the next one. After the second, no new request joins it at its backend server until it
+// begins to respond. After the third it is refused for a while. A request that was merely in
+// flight during a crash is no longer isolated once it completes.
 
 const (
-	// apartFor bounds for how long a request runs with nothing new beside it. The first
-	// events of long prompts take up to a second where nothing is ahead.
-	apartFor = 2 * time.Second
-	// twinRetryAfter is when the caller of a request may come back of which another try runs:
-	// the first events of such tries, and the ends of servers under them, came within
-	// 0.2 to 1 s.
-	twinRetryAfter = time.Second
+	// exclusiveFor bounds how long a request runs without new neighbors. First events of long
+	// prompts take up to a second on an idle engine.
+	exclusiveFor = 2 * time.Second
+	// trialRetryAfter is the retry delay of a request while another attempt of it runs. Such
+	// attempts usually respond or crash within a second.
+	trialRetryAfter = time.Second
 )
 
-// The codes of requests that are held back.
+// Codes of the refusals of suspect requests.
 const (
-	codeEnds = "ends-backends"
-	codeTwin = "on-trial"
+	codeCrashes = "ends-backends"
+	codeOnTrial = "on-trial"
 )
 
 var (
-	errEnds = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, codeEnds,
+	errCrashes = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, codeCrashes,
 		"backend servers ended while they ran this request; it gets none until the time to come back")
-	errTwin = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, codeTwin,
+	errOnTrial = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, codeOnTrial,
 		"backend servers ended while they ran this request, and another try of it runs; come back as told")
 )
 
-// caution is with which care a request is placed.
-type caution uint8
+// isolation is the level of isolation of a request.
+type isolation uint8
 
 const (
-	// noCaution: no server ended under it, as far as is known.
-	noCaution caution = iota
-	// oneAtATime: not while another try of it runs.
+	// notIsolated: no known crash requires isolation.
+	notIsolated isolation = iota
+	// oneAtATime: no other attempt of the request runs in the fleet.
 	oneAtATime
-	// alone: nor together with what comes while it has not begun to answer.
-	alone
+	// exclusive: also, no new request joins it until it begins to respond.
+	exclusive
 )
 
-// caution returns with which care a request is to be placed. One whose answer had begun, or
-// of which another try has begun to answer since, has shown that it can be begun, and goes
-// on like any other after a first end: callers may poll with it.
-func (c *Core) caution(r *request) caution {
+// isolation returns the level that a request requires. After a single crash it needs none if an
+// attempt of it has begun to respond, which shows that it does not crash every backend server.
+func (c *Core) isolation(r *request) isolation {
 	standing := c.suspects.Standing(c.now, r.Digest)
 	switch {
 	case standing.Ends == 0:
-		return noCaution
+		return notIsolated
 	case standing.Ends > 1:
-		return alone
-	case r.Resuming || c.answers[r.Digest] > standing.Last:
-		return noCaution
+		return exclusive
+	case r.Resuming || c.answeredAt[r.Digest] > standing.Last:
+		return notIsolated
 	default:
 		return oneAtATime
 	}
 }
 
-// endsRefusal is why a request is refused under which too many backend servers ended, nil
-// if it is not.
-func (c *Core) endsRefusal(r *request) *verdict.Error {
+// crashRefusal returns the refusal of a request under which too many backend servers crashed,
+// nil if it may be sent.
+func (c *Core) crashRefusal(r *request) *verdict.Error {
 	if standing := c.suspects.Standing(c.now, r.Digest); standing.Barred(c.now) {
-		return errEnds.After(standing.Until - c.now)
+		return errCrashes.After(standing.Until - c.now)
 	}
 	return nil
 }
 
-// trial is a try that runs of a request under which servers ended.
+// trial is a running attempt of a suspect request.
 type trial struct {
-	// holder is the router that holds it, id its id there.
+	// holder is the router that runs the attempt, id the request's ID there.
 	holder string
 	id     uint64
-	// until is when it counts no more, since its holder may have been lost.
-	until time.Duration
+	// expiresAt bounds the trial, since its holder may have been lost.
+	expiresAt time.Duration
 }
 
-// behindTwin reports whether a request waits for another try of it.
-func (c *Core) behindTwin(r *request) bool {
+// waitsForTrial reports whether a request has to wait for another attempt of it.
+func (c *Core) waitsForTrial(r *request) bool {
 	t, ok := c.trials[r.Digest]
-	if !ok || r.Digest == 0 || c.now >= t.until || t.holder == c.opt.self.Address && t.id == r.ID {
+	if !ok || r.Digest == 0 || c.now >= t.expiresAt || t.holder == c.opt.self.Address && t.id == r.ID {
 		return false
 	}
-	return c.caution(r) > noCaution
+	return c.isolation(r) > notIsolated
 }
 
-// beginTrial notes that a try begins of a request under which servers ended.
+// beginTrial records the start of an attempt of a suspect request.
 func (c *Core) beginTrial(r *request) {
-	if c.caution(r) == noCaution {
+	if c.isolation(r) == notIsolated {
 		return
 	}
-	c.trials[r.Digest] = trial{holder: c.opt.self.Address, id: r.ID, until: c.now + apartFor}
-	addBounded(&c.ownNews.begun, uint64(r.Digest))
+	c.trials[r.Digest] = trial{holder: c.opt.self.Address, id: r.ID, expiresAt: c.now + exclusiveFor}
+	appendBounded(&c.ownUpdates.started, uint64(r.Digest))
 }
 
-// endTrial notes that a try has ended, or has begun to answer.
-func (c *Core) endTrial(r *request, answers bool) {
+// endTrial records that an attempt has ended or has begun to respond.
+func (c *Core) endTrial(r *request, answered bool) {
 	t, ok := c.trials[r.Digest]
 	if !ok || t.holder != c.opt.self.Address || t.id != r.ID {
 		return
 	}
 	delete(c.trials, r.Digest)
-	if !answers {
-		addBounded(&c.ownNews.over, uint64(r.Digest))
+	if !answered {
+		appendBounded(&c.ownUpdates.ended, uint64(r.Digest))
 		return
 	}
-	c.answers[r.Digest] = c.now
-	addBounded(&c.ownNews.answers, uint64(r.Digest))
+	c.answeredAt[r.Digest] = c.now
+	appendBounded(&c.ownUpdates.answered, uint64(r.Digest))
 }
 
-// toldTrials takes in the tries that another router has begun, and those that are over.
-func (c *Core) toldTrials(from string, m *wire.Suspects) {
-	for _, d := range m.Begun[:min(mostTold, len(m.Begun))] {
-		if t, ok := c.trials[suspect.Digest(d)]; !ok || c.now >= t.until {
-			c.trials[suspect.Digest(d)] = trial{holder: from, until: c.now + apartFor}
-			addBounded(&c.heardNews.begun, d)
+// handleTrials applies the trials that another router reports as started, answered or ended.
+func (c *Core) handleTrials(from string, m *wire.Suspects) {
+	for _, d := range m.Begun[:min(maxPerMessage, len(m.Begun))] {
+		if t, ok := c.trials[suspect.Digest(d)]; !ok || c.now >= t.expiresAt {
+			c.trials[suspect.Digest(d)] = trial{holder: from, expiresAt: c.now + exclusiveFor}
+			appendBounded(&c.relayUpdates.started, d)
 		}
 	}
-	for _, d := range m.Answers[:min(mostTold, len(m.Answers))] {
+	for _, d := range m.Answers[:min(maxPerMessage, len(m.Answers))] {
 		if c.dropTrial(from, suspect.Digest(d)) {
-			c.answers[suspect.Digest(d)] = c.now
-			addBounded(&c.heardNews.answers, d)
+			c.answeredAt[suspect.Digest(d)] = c.now
+			appendBounded(&c.relayUpdates.answered, d)
 		}
 	}
-	for _, d := range m.Over[:min(mostTold, len(m.Over))] {
+	for _, d := range m.Over[:min(maxPerMessage, len(m.Over))] {
 		if c.dropTrial(from, suspect.Digest(d)) {
-			addBounded(&c.heardNews.over, d)
+			appendBounded(&c.relayUpdates.ended, d)
 		}
 	}
 }
 
-// dropTrial forgets a try of a router, and reports whether it was known.
+// dropTrial removes a trial of a router, and reports whether it was known.
 func (c *Core) dropTrial(holder string, d suspect.Digest) bool {
 	if t, ok := c.trials[d]; !ok || t.holder != holder {
 		return false
@@ -147,27 +146,29 @@
 	return true
 }
 
-// dropTrials forgets the tries of a router that is gone, "" for those that are too old.
+// dropTrials removes expired trials and those of a lost router, "" for none.
 func (c *Core) dropTrials(holder string) {
 	for d, t := range c.trials {
-		if t.holder == holder || c.now >= t.until {
+		if t.holder == holder || c.now >= t.expiresAt {
 			delete(c.trials, d)
 		}
 	}
-	for d := range c.answers {
+	for d := range c.answeredAt {
 		if c.suspects.Standing(c.now, d).Ends == 0 {
-			delete(c.answers, d)
+			delete(c.answeredAt, d)
 		}
 	}
 }
 
-func (o *owned) setApart(key entryKey, now time.Duration) { o.apart, o.apartUntil = key, now+apartFor }
+func (o *ownerState) setExclusive(key entryKey, now time.Duration) {
+	o.exclusive, o.exclusiveUntil = key, now+exclusiveFor
+}
 
-// join lets others join a request that ran apart.
-func (o *owned) join(key entryKey) {
-	if o.apart == key {
-		o.apart, o.apartUntil = entryKey{}, 0
+// clearExclusive lets new requests join one that ran exclusively.
+func (o *ownerState) clearExclusive(key entryKey) {
+	if o.exclusive == key {
+		o.exclusive, o.exclusiveUntil = entryKey{}, 0
 	}
 }
 
-func (o *owned) isApart(now time.Duration) bool { return now < o.apartUntil }
+func (o *ownerState) isExclusive(now time.Duration) bool { return now < o.exclusiveUntil }
--- a/pkg/admit/choose.go
+++ b/pkg/admit/choose.go
@@ -6,77 +6,76 @@
 	"time"
 )
 
-// candidate returns the next backend server to ask for a place, nil if there
-// is none for now.
-func (c *Core) candidate(r *request) (*server, string) {
-	sv := c.service(r.Service)
-	open := c.healthy(sv, c.openServers(sv, r))
-	open = slices.DeleteFunc(open, func(s *server) bool { return r.askOf(s.key) != nil })
-	if len(open) == 0 {
+// nextServer returns the backend server to ask next for a slot and the reason for the choice,
+// nil if there is none now.
+func (c *Core) nextServer(r *request) (*server, string) {
+	svc := c.service(r.Service)
+	eligible := c.healthy(svc, c.eligibleServers(svc, r))
+	eligible = slices.DeleteFunc(eligible, func(s *server) bool { return r.askOf(s.key) != nil })
+	if len(eligible) == 0 {
 		return nil, ""
 	}
 	if r.Prefix == 0 {
-		return c.leastBusy(open), reasonIdle
+		return c.leastBusy(eligible), reasonLessBusy
 	}
-	return c.byPrefix(sv, r, open)
+	return c.chooseByPrefix(svc, r, eligible)
 }
 
-// byPrefix takes the backend servers, which are in the order that the prompt's
-// beginning gives at every router: the first, or else another that has read it, or
-// else, when the request can wait no longer, the least busy. So a prompt that is
-// asked for rarely is read at one, and one that is asked for often at as many as it
-// takes.
-func (c *Core) byPrefix(sv *service, r *request, open []*server) (*server, string) {
-	first := c.firstFor(sv, r.Prefix)
-	if open[0] == first && c.now >= first.busyUntil {
-		return first, reasonFirst
+// chooseByPrefix chooses among backend servers that are in prefix order. It prefers the first
+// in that order, then others that have read the prefix. If neither has a free slot and the
+// request may wait no longer, it takes the least loaded one. A rare prefix is thus read at one
+// backend server, a frequent one at as many as needed.
+func (c *Core) chooseByPrefix(svc *service, r *request, eligible []*server) (*server, string) {
+	preferred := c.preferredServer(svc, r.Prefix)
+	if eligible[0] == preferred && c.now >= preferred.busyUntil {
+		return preferred, reasonPreferred
 	}
-	for _, s := range open {
-		if s != first && s.copies.has(r.Prefix, c.now) && c.now >= s.busyUntil {
+	for _, s := range eligible {
+		if s != preferred && s.prefixes.has(r.Prefix, c.now) && c.now >= s.busyUntil {
 			return s, reasonCopy
 		}
 	}
-	if open[0] == first {
-		return first, reasonFirst
+	if eligible[0] == preferred {
+		return preferred, reasonPreferred
 	}
-	if r.queued() && !c.maySpill(r) {
+	if r.isQueued() && !c.maySpill(r) {
 		return nil, ""
 	}
-	return c.leastUnread(open), reasonSpill
+	return c.leastUnread(eligible), reasonSpill
 }
 
-// leastUnread returns the first of those of which their owners lately told that
-// the least is to be read there.
-func (c *Core) leastUnread(open []*server) *server {
-	return slices.MinFunc(open, func(a, b *server) int {
-		return cmp.Compare(a.unreadSeen(c.now), b.unreadSeen(c.now))
+// leastUnread returns the first of the backend servers whose owners recently reported the
+// fewest unread tokens.
+func (c *Core) leastUnread(eligible []*server) *server {
+	return slices.MinFunc(eligible, func(a, b *server) int {
+		return cmp.Compare(a.unreadReported(c.now), b.unreadReported(c.now))
 	})
 }
 
-// maySpill reports whether a request may go to a backend server that does not
-// keep its shared parts: if it is late already, if they are a small part of the
-// prompt or can be copied, or if it has waited for nearly as long as it may.
+// maySpill reports whether a request may go to a backend server that does not have its shared
+// prefix: if it may have run, if the prefix is a small part of the prompt or can be copied, or
+// if it has waited for most of its maximum wait.
 func (c *Core) maySpill(r *request) bool {
 	if r.MayHaveRun {
 		return true
 	}
-	if float64(r.Shared) <= smallShared*float64(r.Prompt) || c.canCopy(r) {
+	if float64(r.Shared) <= smallPrefixFraction*float64(r.Prompt) || c.canCopy(r) {
 		return true
 	}
-	return r.MaxWait > 0 && c.now-r.arrived >= time.Duration(spillAfter*float64(r.MaxWait))
+	return r.MaxWait > 0 && c.now-r.arrivedAt >= time.Duration(spillAfterFraction*float64(r.MaxWait))
 }
 
-// leastBusy takes the less busy of two that are drawn, so that routers which
-// know the same do not all choose the same; one of the own zone wins a tie.
-func (c *Core) leastBusy(open []*server) *server {
-	a, b := open[c.rng.IntN(len(open))], open[c.rng.IntN(len(open))]
+// leastBusy returns the less loaded of two random backend servers, so that routers with the
+// same information make different choices. A server of this router's zone wins a tie.
+func (c *Core) leastBusy(eligible []*server) *server {
+	a, b := eligible[c.rng.IntN(len(eligible))], eligible[c.rng.IntN(len(eligible))]
 	if c.busier(a, b) {
 		return b
 	}
 	return a
 }
 
-// busier reports whether a is busier than b.
+// busier reports whether a is more loaded than b.
 func (c *Core) busier(a, b *server) bool {
 	x := float64(a.running(c.now)) / float64(a.Slots)
 	y := float64(b.running(c.now)) / float64(b.Slots)
@@ -86,22 +85,22 @@
 	return a.Zone != c.opt.self.Zone && b.Zone == c.opt.self.Zone
 }
 
-// openServers returns the backend servers that may get the request, in the order
-// for its prompt: without those that failed it, unless no other is left.
-func (c *Core) openServers(sv *service, r *request) []*server {
-	order := c.orderFor(sv, r.Prefix)
-	open, others := make([]*server, 0, len(order)), make([]*server, 0, len(order))
+// eligibleServers returns the backend servers that may get the request, in prefix order. It
+// leaves out those at which the request failed, unless there are no others.
+func (c *Core) eligibleServers(svc *service, r *request) []*server {
+	order := c.prefixOrder(svc, r.Prefix)
+	reachable, preferred := make([]*server, 0, len(order)), make([]*server, 0, len(order))
 	for _, s := range order {
-		if !c.reaches(s) || s.rests(c.now) {
+		if !c.isReachable(s) || s.isBackingOff(c.now) {
 			continue
 		}
-		open = append(open, s)
+		reachable = append(reachable, s)
 		if !slices.Contains(r.Avoid, s.Name) {
-			others = append(others, s)
+			preferred = append(preferred, s)
 		}
 	}
-	if len(others) > 0 {
-		return others
+	if len(preferred) > 0 {
+		return preferred
 	}
-	return open
+	return reachable
 }
--- a/pkg/admit/core.go
+++ b/pkg/admit/core.go
@@ -1,16 +1,14 @@
-// Package admit decides which request goes to which backend server and when,
-// and which is refused.
+// Package admit decides which requests a router admits, when, and to which backend server it
+// sends them.
 //
-// Each backend server has an owner: one of the routers of its availability
-// zone, chosen by rendezvous hashing over those that are heard. The router that
-// holds a request asks the owner of the backend server it prefers for a place;
-// the owner knows all that is under way there, and gives places so that first
-// events come in time, to the account first that had least. An owner that does
-// not reply within 40 ms is passed over: the holder admits the request on its own
-// estimate.
+// Each backend server has an owner: one of the live routers of its availability zone, chosen by
+// rendezvous hashing. The router that holds a request asks the owner of the preferred backend
+// server for a slot. The owner knows all requests in flight there and grants slots so that
+// responses start within their targets, serving the account with the least usage first. If the
+// owner does not reply within replyTimeout, the holder admits the request on its own estimate.
 //
-// The package is a pure state machine: events and the time go in, actions come
-// out.
+// The package is a pure state machine: it takes events and the current time, and returns
+// actions.
 package admit
 
 import (
@@ -23,43 +21,43 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// Event is what a Core takes in one Step.
+// Event is the input of Core.Step.
 type Event interface{ apply(c *Core) }
 
-// Action is what the caller of Step does.
+// Action is an output of Core.Step, which the caller carries out.
 type Action interface{ action() }
 
-// Start says that a request is to be sent to a backend server now.
+// Start sends a request to a backend server.
 type Start struct {
 	ID      uint64
 	Backend table.Backend
-	// FetchFrom is the address of the backend server that keeps the prompt's
-	// shared parts, from which they are to be copied; "" if none needs to be.
+	// FetchFrom is the address of the backend server from which to copy the cached prompt
+	// prefix, "" if no copy is needed.
 	FetchFrom string
-	// Reason says in a word how the backend server was chosen.
+	// Reason is a code for why this backend server was chosen.
 	Reason string
-	// TokensAhead is the tokens to be read there before the first event, Expected
-	// when that is expected.
+	// TokensAhead is the number of prompt tokens that the backend server reads before the first
+	// event of the response; ExpectedDelay is the predicted time to that event.
 	TokensAhead   int64
 	ExpectedDelay time.Duration
-	// Running is how many requests are under way there.
+	// Running is the number of requests in flight at the backend server.
 	Running int
-	// Waited is how long the request waited here.
+	// Waited is how long the request waited at this router.
 	Waited time.Duration
 }
 
-// Refuse says that a request is not sent to any.
+// Refuse rejects a request that was not sent to any backend server.
 type Refuse struct {
 	ID  uint64
 	Err *verdict.Error
-	// Waited is how long the request waited here.
+	// Waited is how long the request waited at this router.
 	Waited time.Duration
-	// Crashes is how many backend servers ended under the request, if it is refused for
-	// that.
+	// Crashes is the number of backend servers that crashed under the request, if it is refused
+	// for that.
 	Crashes int
 }
 
-// Send is a message for another router.
+// Send sends a message to another router.
 type Send struct {
 	To  string
 	Msg any
@@ -69,207 +67,205 @@
 func (Refuse) action() {}
 func (Send) action()   {}
 
-// Core is one router's decisions.
+// Core is the admission state of one router.
 type Core struct {
 	opt     options
 	now     time.Duration
 	rng     *rand.Rand
 	routers []Router
-	// known is how many routers are known in each zone, those that fell silent
-	// lately with them; nil if nobody counts.
-	known map[string]int
-	// cutOff are the zones that cannot be reached from here.
-	cutOff  map[string]bool
-	servers map[wire.Key]*server
-	// generation counts the tables.
+	// routersByZone counts the known routers of each zone, including those that fell silent
+	// recently. It is nil if the counts are unknown.
+	routersByZone map[string]int
+	// unreachableZones are the zones in which this router reaches no router.
+	unreachableZones map[string]bool
+	servers          map[wire.Key]*server
+	// generation is incremented with each table update.
 	generation uint64
-	// ordered are the servers by name, held those at which this router has acted as
-	// the owner.
-	ordered  []*server
-	held     []*server
-	services map[string]*service
-	requests map[uint64]*request
-	// suspects are the requests that were under way at backend servers that ended,
-	// ownNews and heardNews what others are to be told of them.
-	suspects           *suspect.Table
-	ownNews, heardNews suspectNews
-	// trials are the requests under which servers ended and of which a try runs that has
-	// not begun to answer.
+	// sortedServers is sorted by name. ownedServers are those for which this router keeps owner
+	// state, also sorted by name.
+	sortedServers []*server
+	ownedServers  []*server
+	services      map[string]*service
+	requests      map[uint64]*request
+	// suspects are the requests that were in flight at backend servers that crashed. ownUpdates
+	// and relayUpdates are changes to send to other routers.
+	suspects                 *suspect.Table
+	ownUpdates, relayUpdates suspectUpdates
+	// trials are the running attempts of suspect requests that have not begun to respond.
 	trials map[suspect.Digest]trial
-	// answers are the requests of which a try began to answer after an end, and when.
-	answers map[suspect.Digest]time.Duration
-	// words are what starts of backend servers say of themselves.
-	words map[wire.Key]*word
-	// waiting are the requests that have no place yet, by age.
+	// answeredAt is when an attempt of a suspect request last began to respond.
+	answeredAt map[suspect.Digest]time.Duration
+	// notices is what backend servers announced about themselves, by incarnation.
+	notices map[wire.Key]*notice
+	// waiting are the requests without a slot, in order of arrival.
 	waiting  []*request
 	accounts *accounts
-	// weights is the service of accounts by their weights, nil where it is by what they ask.
-	weights *weights
-	// stated is how many tokens a second the table states that engines give.
-	stated  float64
-	reports map[reportSource]*usageReport
-	// silentAfter is when what was told counts no more.
-	silentAfter time.Duration
-	// unresponsive are the owners that did not reply in time, since when.
-	unresponsive map[string]time.Duration
-	// copies are those made since the others were told.
-	copies []wire.Copy
-	// nearCopies are those that others of the zone told of since then, farCopies
-	// those that others told of.
-	nearCopies, farCopies []wire.Copy
-	// within counts the requests of accounts that ask for no more than their
-	// share at the backend servers owned here, waited those of them that found
-	// no place at once, a second.
-	within, waited rate
-	// started is the time of the first step, joined when the first other router
-	// was heard, 0 before.
-	started, joined time.Duration
-	// stood is the last time during which this router stood still.
-	stood span
-	// late is how late this router hears of what comes to it.
-	late   time.Duration
-	synced time.Duration
-	swept  time.Duration
-	// local is what this router sends to itself.
-	local []any
-	out   []Action
+	// weighted schedules accounts by their weights. It is nil if they are scheduled by demand.
+	weighted *weightedScheduler
+	// statedCapacity is the engines' throughput in tokens per second, as the table states it.
+	statedCapacity float64
+	reports        map[reportSource]*usageReport
+	// reportTTL is the age at which reports of other routers expire.
+	reportTTL time.Duration
+	// unresponsiveSince is when an owner last failed to reply in time.
+	unresponsiveSince map[string]time.Duration
+	// newCopies are the prefix copies made since the last snapshot.
+	newCopies []wire.Copy
+	// zoneCopies and remoteCopies are the copies reported since the last snapshot by routers of
+	// this zone and of other zones.
+	zoneCopies, remoteCopies []wire.Copy
+	// withinShare is the rate of requests, at the backend servers owned here, of accounts whose
+	// demand is within their fair share. withinShareDelayed is the rate of those that got no
+	// slot at once.
+	withinShare, withinShareDelayed rate
+	// startedAt is the time of the first step, firstPeerAt the time when the first other router
+	// appeared. Both are 0 before.
+	startedAt, firstPeerAt time.Duration
+	// pause is the last interval during which this process did not run.
+	pause interval
+	// delay is the current delay in processing received messages.
+	delay    time.Duration
+	syncedAt time.Duration
+	sweptAt  time.Duration
+	// localMsgs are messages from this router to itself.
+	localMsgs []any
+	actions   []Action
 }
 
 // Router is a router that may own backend servers.
 type Router struct {
 	Address string
 	Zone    string
-	// Capacity is its share of processors, above 0.
+	// Capacity is the number of processors it may use.
 	Capacity float64
 }
 
 type options struct {
 	self Router
 	seed uint64
-	// uniqueStarts says that each start of a backend server has a name of its own.
-	uniqueStarts bool
-	// weights says that accounts are served by their weights.
-	weights bool
+	// uniqueIncarnations says that each incarnation of a backend server has its own name.
+	uniqueIncarnations bool
+	// weighted says that accounts are scheduled by their weights.
+	weighted bool
 }
 
-// Option changes a new Core.
+// Option configures a new Core.
 type Option func(*options)
 
-// WithSeed sets the seed of the choices among equals.
+// WithSeed seeds the random choice among equal candidates.
 func WithSeed(seed uint64) Option { return func(o *options) { o.seed = seed } }
 
-// WithUniqueIncarnations says that each start of a backend server has a name of its own unless the
-// directory gives it a number, and refuses what is meant for another: an answer is the word of
-// the start that it was asked of.
-func WithUniqueIncarnations() Option { return func(o *options) { o.uniqueStarts = true } }
+// WithUniqueIncarnations says that each incarnation of a backend server has its own name,
+// unless the directory gives it a number, and rejects requests meant for another one. A
+// response then always comes from the incarnation to which the request was sent.
+func WithUniqueIncarnations() Option { return func(o *options) { o.uniqueIncarnations = true } }
 
-// New returns the core of a router that knows nothing.
+// New returns a Core without a table and without other routers.
 func New(self Router, opts ...Option) *Core {
 	c := &Core{
-		opt:          options{self: self},
-		routers:      []Router{self},
-		servers:      map[wire.Key]*server{},
-		services:     map[string]*service{},
-		requests:     map[uint64]*request{},
-		words:        map[wire.Key]*word{},
-		suspects:     suspect.New(),
-		trials:       map[suspect.Digest]trial{},
-		answers:      map[suspect.Digest]time.Duration{},
-		accounts:     newAccounts(),
-		reports:      map[reportSource]*usageReport{},
-		unresponsive: map[string]time.Duration{},
+		opt:               options{self: self},
+		routers:           []Router{self},
+		servers:           map[wire.Key]*server{},
+		services:          map[string]*service{},
+		requests:          map[uint64]*request{},
+		notices:           map[wire.Key]*notice{},
+		suspects:          suspect.New(),
+		trials:            map[suspect.Digest]trial{},
+		answeredAt:        map[suspect.Digest]time.Duration{},
+		accounts:          newAccounts(),
+		reports:           map[reportSource]*usageReport{},
+		unresponsiveSince: map[string]time.Duration{},
 	}
 	for _, f := range opts {
 		f(&c.opt)
 	}
-	if c.opt.weights {
-		c.weights = newWeights()
+	if c.opt.weighted {
+		c.weighted = newWeightedScheduler()
 	}
-	c.silentAfter = DefaultReportTTL
+	c.reportTTL = DefaultReportTTL
 	c.rng = rand.New(rand.NewPCG(c.opt.seed, 0))
 	return c
 }
 
-// Step takes one event at the time now. The returned slice is valid until the
-// next Step.
+// Step applies an event at the given time. The returned slice is valid until the next call.
 func (c *Core) Step(now time.Duration, ev Event) []Action {
-	c.notePause(now)
+	c.detectPause(now)
 	c.now = max(c.now, now)
-	if c.started == 0 {
-		c.started = c.now
+	if c.startedAt == 0 {
+		c.startedAt = c.now
 	}
-	c.out = c.out[:0]
+	c.actions = c.actions[:0]
 	ev.apply(c)
-	for len(c.local) > 0 {
-		msg := c.local[0]
-		c.local = c.local[1:]
+	for len(c.localMsgs) > 0 {
+		msg := c.localMsgs[0]
+		c.localMsgs = c.localMsgs[1:]
 		c.receive(c.opt.self.Address, msg)
 	}
-	c.tellCleared()
-	return c.out
+	c.emitCleared()
+	return c.actions
 }
 
-func (c *Core) act(a Action) { c.out = append(c.out, a) }
+func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
 // send sends a message to a router, which may be this one.
 func (c *Core) send(to string, msg any) {
 	if to == c.opt.self.Address {
-		c.local = append(c.local, msg)
+		c.localMsgs = append(c.localMsgs, msg)
 		return
 	}
-	c.act(Send{To: to, Msg: msg})
+	c.emit(Send{To: to, Msg: msg})
 }
 
-// Message is a message of another router.
+// Message is a message from another router.
 type Message struct {
 	From string
 	Msg  any
 }
 
 func (e Message) apply(c *Core) {
-	delete(c.unresponsive, e.From)
+	delete(c.unresponsiveSince, e.From)
 	c.receive(e.From, e.Msg)
 }
 
 func (c *Core) receive(from string, msg any) {
 	switch m := msg.(type) {
 	case *wire.Ask:
-		c.asked(from, m)
+		c.handleAsk(from, m)
 	case *wire.Reply:
-		c.replied(from, m)
+		c.handleReply(from, m)
 	case *wire.Note:
 		c.handleRequestUpdate(from, m)
 	case *wire.Sync:
 		c.reconcileInFlight(from, m)
 	case *wire.Leaving:
-		c.toldLeaving(from, m)
+		c.handleLeaving(from, m)
 	case *wire.Suspects:
-		c.toldSuspects(from, m)
+		c.handleSuspects(from, m)
 	}
 }
 
-// Tick lets time pass. It is due every few milliseconds while requests wait.
+// Tick advances time. It is due every few milliseconds while NeedsTicks reports true.
 type Tick struct{}
 
 func (Tick) apply(c *Core) {
-	c.dropSilent()
-	c.serveOwned()
+	c.sweep()
+	c.serveQueues()
 	c.advanceWaiting()
 	c.syncIfDue()
 }
 
-// ProcessingDelay says how late this router hears of what comes to its sockets, since it has
-// little time.
+// ProcessingDelay reports how long received messages wait before this router processes them.
 type ProcessingDelay struct{ Delay time.Duration }
 
-func (e ProcessingDelay) apply(c *Core) { c.late = max(0, e.Delay) }
+func (e ProcessingDelay) apply(c *Core) { c.delay = max(0, e.Delay) }
 
-// NeedsTicks reports whether something waits, so that ticks are due soon.
+// NeedsTicks reports whether requests wait, at this router or in the queues of its backend
+// servers.
 func (c *Core) NeedsTicks() bool {
 	if len(c.waiting) > 0 {
 		return true
 	}
-	for _, s := range c.held {
+	for _, s := range c.ownedServers {
 		if len(s.owned.queue) > 0 {
 			return true
 		}
@@ -277,13 +273,13 @@
 	return false
 }
 
-// Waiting returns how many requests wait for a place.
+// Waiting returns the number of requests that wait for a slot.
 func (c *Core) Waiting() int { return len(c.waiting) }
 
 // Owned returns the names of the backend servers that this router owns.
 func (c *Core) Owned() []string {
 	var names []string
-	for _, s := range c.ordered {
+	for _, s := range c.sortedServers {
 		if s.owner == c.opt.self.Address {
 			names = append(names, s.Name)
 		}
@@ -291,10 +287,10 @@
 	return names
 }
 
-// OwnedBackends returns the rows of the backend servers that this router owns.
+// OwnedBackends returns the table rows of the backend servers that this router owns.
 func (c *Core) OwnedBackends() []table.Backend {
 	var rows []table.Backend
-	for _, s := range c.ordered {
+	for _, s := range c.sortedServers {
 		if s.owner == c.opt.self.Address {
 			rows = append(rows, s.Backend)
 		}
@@ -302,14 +298,14 @@
 	return rows
 }
 
-// RunningByBackend returns how many requests this router counts at each backend server
-// that it owns or has owned, by name; of one that has started again, at its last start.
+// RunningByBackend returns the number of requests in flight at each backend server that this
+// router owns or has owned, by name. It counts the latest incarnation only.
 func (c *Core) RunningByBackend() map[string]int {
-	counted := map[string]int{}
-	for _, s := range c.held {
+	running := map[string]int{}
+	for _, s := range c.ownedServers {
 		if s.owned != nil && s.generation == c.generation {
-			counted[s.Name] = s.owned.running
+			running[s.Name] = s.owned.running
 		}
 	}
-	return counted
+	return running
 }
--- a/pkg/admit/fetch.go
+++ b/pkg/admit/fetch.go
@@ -6,74 +6,74 @@
 	"time"
 )
 
-// leastFetch is the least number of shared tokens that is copied from another
-// backend server. A copy takes 2 to 5 ms however short it is, in which an engine
-// reads a few hundred tokens; but an engine goes on with other prompts meanwhile.
-const leastFetch = 64
+// minCopyTokens is the least size of a shared prefix that is copied from another backend
+// server. A copy takes a few milliseconds, in which an engine reads some hundred tokens, but
+// leaves the engine free for other prompts.
+const minCopyTokens = 64
 
-// joinsApart is how much later than another a backend server must have joined to
-// count as new beside it: at a start of the platform all join within a moment.
-const joinsApart = time.Second
+// newServerGap is how much later than another a backend server must have joined to count as new
+// compared with it. When the platform starts, all join at about the same time.
+const newServerGap = time.Second
 
-// sourceFor returns the backend server from which the shared parts of a
-// request's prompt can be copied to another one, nil if there is none. Those
-// that are known to have read them come first; then the first of each zone for
-// them, also one that is leaving; then any that was there before a new one.
-func (c *Core) sourceFor(r *request, to *server) *server {
-	if r.Prefix == 0 || r.Shared < leastFetch {
+// copySource returns the backend server from which a request's shared prefix can be copied to
+// another one, nil if there is none. It prefers those known to have read the prefix, then the
+// preferred server of each zone, then servers that a new one may have replaced as the preferred
+// one.
+func (c *Core) copySource(r *request, to *server) *server {
+	if r.Prefix == 0 || r.Shared < minCopyTokens {
 		return nil
 	}
-	sv := c.service(r.Service)
-	firsts := c.firstOfZones(sv, r.Prefix)
-	isFirst := func(s *server) bool { return firsts[s.Zone] == s }
-	hasRead := func(s *server) bool { return s.copies.has(r.Prefix, c.now) }
-	var keepers []*server
-	for _, s := range c.orderFor(sv, r.Prefix) {
-		if s == to || s.health.out != 0 || c.cutOff[s.Zone] {
+	svc := c.service(r.Service)
+	byZone := c.preferredByZone(svc, r.Prefix)
+	isPreferred := func(s *server) bool { return byZone[s.Zone] == s }
+	hasPrefix := func(s *server) bool { return s.prefixes.has(r.Prefix, c.now) }
+	var sources []*server
+	for _, s := range c.prefixOrder(svc, r.Prefix) {
+		if s == to || s.health.ejectedUntil != 0 || c.unreachableZones[s.Zone] {
 			continue
 		}
-		if hasRead(s) || isFirst(s) || c.tookOver(to, s) {
-			keepers = append(keepers, s)
+		if hasPrefix(s) || isPreferred(s) || c.mayHaveReplaced(to, s) {
+			sources = append(sources, s)
 		}
 	}
-	if len(keepers) == 0 {
+	if len(sources) == 0 {
 		return nil
 	}
-	// Of equals the first in the order wins.
-	return slices.MinFunc(keepers, func(a, b *server) int {
-		return cmp.Or(compareFirst(hasRead(a), hasRead(b)), compareFirst(isFirst(a), isFirst(b)))
+	// Ties go to the first in prefix order.
+	return slices.MinFunc(sources, func(a, b *server) int {
+		return cmp.Or(trueFirst(hasPrefix(a), hasPrefix(b)), trueFirst(isPreferred(a), isPreferred(b)))
 	})
 }
 
-// firstOfZones returns the backend server of each zone that is first there for a
-// prompt's beginning, also one that is leaving.
-func (c *Core) firstOfZones(sv *service, prefix uint64) map[string]*server {
-	firsts := map[string]*server{}
-	for _, s := range c.orderFor(sv, prefix) {
-		if firsts[s.Zone] == nil {
-			firsts[s.Zone] = s
+// preferredByZone returns the first backend server of each zone in prefix order, including
+// those that are leaving.
+func (c *Core) preferredByZone(svc *service, prefix uint64) map[string]*server {
+	preferred := map[string]*server{}
+	for _, s := range c.prefixOrder(svc, prefix) {
+		if preferred[s.Zone] == nil {
+			preferred[s.Zone] = s
 		}
 	}
-	return firsts
+	return preferred
 }
 
-// canCopy reports whether the shared parts of a request's prompt can be copied
-// from the first backend server for them, so that they need not be read again.
+// canCopy reports whether the shared prefix of a request can be copied from the preferred
+// server.
 func (c *Core) canCopy(r *request) bool {
-	if r.Shared < leastFetch {
+	if r.Shared < minCopyTokens {
 		return false
 	}
-	first := c.firstFor(c.service(r.Service), r.Prefix)
-	return first != nil && first.health.out == 0
+	preferred := c.preferredServer(c.service(r.Service), r.Prefix)
+	return preferred != nil && preferred.health.ejectedUntil == 0
 }
 
-// tookOver reports whether a backend server may have become the first for a
-// prompt lately in place of another one that was there before.
-func (c *Core) tookOver(to, from *server) bool {
-	return c.now-to.joined < recentFor && to.joined-from.joined >= joinsApart
+// mayHaveReplaced reports whether a backend server may recently have become the preferred one
+// for a prefix in place of an older one.
+func (c *Core) mayHaveReplaced(to, from *server) bool {
+	return c.now-to.addedAt < prefixTTL && to.addedAt-from.addedAt >= newServerGap
 }
 
-// address returns where a source is reached, "" without one.
+// address returns the address of a copy source, "" for nil.
 func (s *server) address() string {
 	if s == nil {
 		return ""
--- a/pkg/admit/health.go
+++ b/pkg/admit/health.go
@@ -6,160 +6,160 @@
 	"time"
 )
 
-// Result is how an attempt ended, as far as it speaks of the backend server.
+// Result is the outcome of an attempt with regard to the backend server.
 type Result uint8
 
-// The results of attempts.
+// Results of attempts.
 const (
-	// Answered: the answer came whole and was no failure.
+	// Answered: a complete response that is not a server error.
 	Answered Result = iota
-	// Failed: the backend server answered with a failure of its own.
+	// Failed: the backend server responded with an error of its own.
 	Failed
-	// Broken: the connection broke, or what came was no answer.
+	// Broken: the connection broke, or the response was malformed.
 	Broken
-	// Stalled: nothing came for too long.
+	// Stalled: the backend server sent nothing for too long.
 	Stalled
 	// Unreachable: no byte of the request could be sent.
 	Unreachable
-	// Refused: the backend server did not take the request.
+	// Refused: the backend server did not accept the request.
 	Refused
-	// Unknown: it says nothing, as when the caller left.
+	// Unknown: no information, for example because the client disconnected.
 	Unknown
 )
 
-// health is what attempts tell of a backend server.
+// health is the state of a backend server according to attempts of this router.
 type health struct {
-	// bad is the part of recent attempts that failed, of which older ones
-	// count less.
-	bad float64
-	// slow is how many times longer first events take than predicted.
-	slow float64
-	seen float64
-	// out is until when it gets no work but a trial; 0 if it is trusted.
-	out time.Duration
-	// strikes is how often in a row it was put out.
-	strikes int
-	// trial says that a trial is under way since then.
-	trial time.Duration
-	// full is until when it takes no more, as it said itself.
-	full time.Duration
+	// failureRate is the moving average of failures.
+	failureRate float64
+	// slowFactor is the moving average of the actual over the predicted time to the first
+	// event.
+	slowFactor float64
+	seen       float64
+	// ejectedUntil is when an ejected backend server may get a probe, 0 if it is not ejected.
+	ejectedUntil time.Duration
+	// ejections counts consecutive ejections.
+	ejections int
+	// probedAt is when the current probe started, 0 if there is none.
+	probedAt time.Duration
+	// fullUntil is until when it gets no requests because it refused one.
+	fullUntil time.Duration
 }
 
 const (
-	// badFade is the weight of one more attempt.
-	badFade = 0.15
-	// badLimit is the part of failures from which a backend server is put
-	// out, if others of its service fail less.
-	badLimit = 0.3
-	// badMargin is by how much more it must fail than the middle one.
-	badMargin = 0.2
-	slowFade  = 0.1
-	// slowest bounds what is put down to a backend server being slow.
-	slowest = 8
-	// outFirst is for how long one is put out first, outMost at most.
-	outFirst = 500 * time.Millisecond
-	outMost  = 4 * time.Second
-	// trialFor is how long a trial may take before another is made.
-	trialFor = time.Second
-	// fullFor is how long one that said it is full gets nothing new.
-	fullFor = 30 * time.Millisecond
+	// failureWeight is the weight of a new sample.
+	failureWeight = 0.15
+	// ejectThreshold is the failure rate from which a backend server is ejected, unless others
+	// of its service fail as often.
+	ejectThreshold = 0.3
+	// ejectMargin is by how much its failure rate must exceed the median of its service.
+	ejectMargin = 0.2
+	slowWeight  = 0.1
+	// maxSlowness bounds slowFactor.
+	maxSlowness = 8
+	// minEjection is the duration of the first ejection, which doubles with each consecutive
+	// one up to maxEjection.
+	minEjection = 500 * time.Millisecond
+	maxEjection = 4 * time.Second
+	// probeTimeout is the time after which another probe may be sent.
+	probeTimeout = time.Second
+	// fullPeriod is how long a backend server that refused a request gets no other.
+	fullPeriod = 30 * time.Millisecond
 )
 
 func (h *health) slowness() float64 {
-	if h.slow == 0 {
+	if h.slowFactor == 0 {
 		return 1
 	}
-	return min(max(h.slow, 1), slowest)
+	return min(max(h.slowFactor, 1), maxSlowness)
 }
 
-func (h *health) first(took, predicted time.Duration) {
+func (h *health) observeFirstEvent(took, predicted time.Duration) {
 	if predicted <= 0 {
 		return
 	}
-	ratio := min(took.Seconds()/predicted.Seconds(), slowest)
-	if h.slow == 0 {
-		h.slow = 1
+	ratio := min(took.Seconds()/predicted.Seconds(), maxSlowness)
+	if h.slowFactor == 0 {
+		h.slowFactor = 1
 	}
-	h.slow += slowFade * (ratio - h.slow)
-	h.trust()
+	h.slowFactor += slowWeight * (ratio - h.slowFactor)
+	h.readmit()
 }
 
-func (h *health) trust() {
-	h.out, h.strikes, h.trial = 0, 0, 0
+func (h *health) readmit() {
+	h.ejectedUntil, h.ejections, h.probedAt = 0, 0, 0
 }
 
-func (h *health) started(now time.Duration) {
-	if h.out > 0 && now >= h.out {
-		h.trial = now
+func (h *health) noteStarted(now time.Duration) {
+	if h.ejectedUntil > 0 && now >= h.ejectedUntil {
+		h.probedAt = now
 	}
 }
 
-func (h *health) ended(now time.Duration, r Result) {
+func (h *health) noteEnded(now time.Duration, r Result) {
 	switch r {
 	case Answered:
-		h.count(0)
-		if h.out > 0 && h.trial > 0 {
-			h.trust()
-			h.bad = min(h.bad, badLimit/2)
+		h.record(0)
+		if h.ejectedUntil > 0 && h.probedAt > 0 {
+			h.readmit()
+			h.failureRate = min(h.failureRate, ejectThreshold/2)
 		}
 	case Failed:
-		h.count(1)
-		if h.trial > 0 {
-			h.putOut(now)
+		h.record(1)
+		if h.probedAt > 0 {
+			h.eject(now)
 		}
 	case Broken:
-		h.count(1)
+		h.record(1)
 	case Stalled, Unreachable:
-		h.count(1)
-		h.putOut(now)
+		h.record(1)
+		h.eject(now)
 	case Refused:
-		h.full = now + fullFor
+		h.fullUntil = now + fullPeriod
 	case Unknown:
 	}
 }
 
-func (h *health) count(bad float64) {
-	h.bad += badFade * (bad - h.bad)
+func (h *health) record(failure float64) {
+	h.failureRate += failureWeight * (failure - h.failureRate)
 	h.seen++
 }
 
-// putOut gives it no work for a while, longer each time in a row.
-func (h *health) putOut(now time.Duration) {
-	if now < h.out {
+// eject ejects a backend server, for longer with each consecutive ejection.
+func (h *health) eject(now time.Duration) {
+	if now < h.ejectedUntil {
 		return
 	}
-	h.out = now + min(outMost, time.Duration(float64(outFirst)*math.Pow(2, float64(h.strikes))))
-	h.strikes++
-	h.trial = 0
+	h.ejectedUntil = now + min(maxEjection, time.Duration(float64(minEjection)*math.Pow(2, float64(h.ejections))))
+	h.ejections++
+	h.probedAt = 0
 }
 
-// mayTake reports whether it may get a request now.
-func (h *health) mayTake(now time.Duration) bool {
-	if now < h.full {
+// mayReceive reports whether it may get a request or a probe now.
+func (h *health) mayReceive(now time.Duration) bool {
+	if now < h.fullUntil {
 		return false
 	}
-	if h.out == 0 {
+	if h.ejectedUntil == 0 {
 		return true
 	}
-	return now >= h.out && (h.trial == 0 || now-h.trial >= trialFor)
+	return now >= h.ejectedUntil && (h.probedAt == 0 || now-h.probedAt >= probeTimeout)
 }
 
-// healthy returns those of the backend servers that can be expected to
-// answer. If that were fewer than half, something else is the matter, and all
-// are used that are not known to be full.
-func (c *Core) healthy(s *service, open []*server) []*server {
-	limit := max(badLimit, c.middle(s)+badMargin)
+// healthy ejects backend servers that fail too often and returns the others. If none is left,
+// it returns all that are not full, since the cause is probably elsewhere.
+func (c *Core) healthy(svc *service, eligible []*server) []*server {
+	limit := max(ejectThreshold, c.medianFailureRate(svc)+ejectMargin)
 	var good, rest []*server
-	for _, sv := range open {
-		h := &sv.health
-		if h.out == 0 && h.bad > limit {
-			h.putOut(c.now)
+	for _, s := range eligible {
+		h := &s.health
+		if h.ejectedUntil == 0 && h.failureRate > limit {
+			h.eject(c.now)
 		}
 		switch {
-		case h.mayTake(c.now):
-			good = append(good, sv)
-		case c.now >= h.full:
-			rest = append(rest, sv)
+		case h.mayReceive(c.now):
+			good = append(good, s)
+		case c.now >= h.fullUntil:
+			rest = append(rest, s)
 		}
 	}
 	if len(good) > 0 {
@@ -168,44 +168,41 @@
 	return rest
 }
 
-// middleFor is how long the middle part of failures is taken for unchanged: a
-// single attempt moves it by little.
-const middleFor = 50 * time.Millisecond
+// medianTTL is how long a median is cached. A single attempt changes it little.
+const medianTTL = 50 * time.Millisecond
 
-// middle returns the part of failures of the middle one of a service's
-// backend servers.
-func (c *Core) middle(s *service) float64 {
-	if s.middleAt > 0 && c.now-s.middleAt < middleFor {
-		return s.middle
+// medianFailureRate returns the median failure rate of a service's backend servers.
+func (c *Core) medianFailureRate(svc *service) float64 {
+	if svc.medianAt > 0 && c.now-svc.medianAt < medianTTL {
+		return svc.median
 	}
-	all := make([]float64, 0, len(s.servers))
-	for _, sv := range s.servers {
-		all = append(all, sv.health.bad)
+	all := make([]float64, 0, len(svc.servers))
+	for _, s := range svc.servers {
+		all = append(all, s.health.failureRate)
 	}
-	s.middle, s.middleAt = 0, c.now
+	svc.median, svc.medianAt = 0, c.now
 	if len(all) > 0 {
 		slices.Sort(all)
-		s.middle = all[len(all)/2]
+		svc.median = all[len(all)/2]
 	}
-	return s.middle
+	return svc.median
 }
 
-// Ejection is a backend server that gets no work but trials.
+// Ejection describes an ejected backend server, which gets only probes.
 type Ejection struct {
-	// FailureRate is the part of recent attempts that failed.
+	// FailureRate is the moving average of failures.
 	FailureRate float64
-	// Count is how often in a row it was put out.
+	// Count is the number of consecutive ejections.
 	Count int
 }
 
-// Ejected returns the backend servers that this router does not trust now,
-// by name.
+// Ejected returns the backend servers that this router has ejected, by name.
 func (c *Core) Ejected() map[string]Ejection {
-	list := map[string]Ejection{}
-	for _, s := range c.ordered {
-		if s.health.out > 0 && s.generation == c.generation {
-			list[s.Name] = Ejection{FailureRate: s.health.bad, Count: s.health.strikes}
+	ejected := map[string]Ejection{}
+	for _, s := range c.sortedServers {
+		if s.health.ejectedUntil > 0 && s.generation == c.generation {
+			ejected[s.Name] = Ejection{FailureRate: s.health.failureRate, Count: s.health.ejections}
 		}
 	}
-	return list
+	return ejected
 }
--- a/pkg/admit/limits.go
+++ b/pkg/admit/limits.go
@@ -8,40 +8,42 @@
 )
 
 const (
-	// limitBurst is how much of a rate may be saved up, in seconds of it.
+	// limitBurst is the capacity of the token buckets, in seconds of their rates.
 	limitBurst = 1.0
-	// newlyActive is for how long after an account came to a router this one keeps to its
-	// part among all routers that are known: others may have begun at the same moment.
-	newlyActive = 250 * time.Millisecond
+	// activationPeriod is how long a router keeps to an even share of the in-flight limit after
+	// an account became active there: others may have started at the same time without having
+	// reported it yet.
+	activationPeriod = 250 * time.Millisecond
 )
 
-// limiter holds an account to its limits on a service over the whole fleet. Each router keeps
-// the whole fleet's account of it: it takes off its own use at once and that of the others as
-// they tell it. Where some are cut off, it lets itself have its part only, so that a split
-// fleet errs on the side of too little.
+// limiter enforces the limits of an account for a service in the whole fleet. Each router
+// charges its own use at once and that of others as they report it. If other routers are
+// unreachable, it uses only the reachable routers' share of the limits, so that a partitioned
+// fleet stays below them.
 type limiter struct {
 	table.Limits
-	// requests and tokens are what may still be used; they may fall below zero by what
-	// others used meanwhile.
+	// requests and tokens are the levels of the token buckets. They may be negative after
+	// reports of other routers.
 	requests, tokens float64
 	filledAt         time.Duration
-	// since is when the account last came here from having nothing here.
-	since time.Duration
+	// activeSince is when the account last became active at this router.
+	activeSince time.Duration
 }
 
-// renew returns the limiter of limits, with what was used so far; nil if there are none.
-func (l *limiter) renew(limits table.Limits, now time.Duration) *limiter {
+// update returns the limiter for new limits, with the same bucket levels; nil if there are no
+// limits.
+func (l *limiter) update(limits table.Limits, now time.Duration) *limiter {
 	if limits.RequestsPerSecond == 0 && limits.TokensPerSecond == 0 && limits.InFlight == 0 {
 		return nil
 	}
 	if l == nil {
-		l = &limiter{requests: limits.RequestsPerSecond * limitBurst, tokens: limits.TokensPerSecond * limitBurst, filledAt: now, since: now}
+		l = &limiter{requests: limits.RequestsPerSecond * limitBurst, tokens: limits.TokensPerSecond * limitBurst, filledAt: now, activeSince: now}
 	}
 	l.Limits = limits
 	return l
 }
 
-// spend takes use off; an account without limits has a nil limiter.
+// spend subtracts usage. A nil limiter has no limits.
 func (l *limiter) spend(tokens, requests float64) {
 	if l != nil {
 		l.tokens -= tokens
@@ -49,68 +51,69 @@
 	}
 }
 
-// refill lets time add to what may be used, by the part of the fleet that is heard.
-func (l *limiter) refill(now time.Duration, part float64) {
-	passed := (now - l.filledAt).Seconds() * part
+// refill adds the given fraction of the rates for the elapsed time.
+func (l *limiter) refill(now time.Duration, fraction float64) {
+	elapsed := (now - l.filledAt).Seconds() * fraction
 	l.filledAt = now
-	l.requests = min(l.RequestsPerSecond*limitBurst, l.requests+l.RequestsPerSecond*passed)
-	l.tokens = min(l.TokensPerSecond*limitBurst, l.tokens+l.TokensPerSecond*passed)
+	l.requests = min(l.RequestsPerSecond*limitBurst, l.requests+l.RequestsPerSecond*elapsed)
+	l.tokens = min(l.TokensPerSecond*limitBurst, l.tokens+l.TokensPerSecond*elapsed)
 }
 
-// withinLimits reports whether one more request of the account may be sent by this router, of
-// which it has asked for places for some.
+// withinLimits reports whether the limits of its account allow this router to send one more
+// request.
 func (c *Core) withinLimits(r *request) bool {
-	if c.weights == nil {
+	if c.weighted == nil {
 		return true
 	}
-	u := c.weights.use(r.use(), c.now)
-	l := u.limit
+	u := c.weighted.usage(r.usageKey(), c.now)
+	l := u.limiter
 	if l == nil {
 		return true
 	}
-	l.refill(c.now, c.heardPart())
+	l.refill(c.now, c.reachableRouterFraction())
 	if l.RequestsPerSecond > 0 && !r.Retry && l.requests < 1 || l.TokensPerSecond > 0 && l.tokens <= 0 {
 		return false
 	}
-	return l.InFlight == 0 || u.running < c.inFlightPart(u)
+	return l.InFlight == 0 || u.running < c.inFlightQuota(u)
 }
 
-// heardPart is the part of the known routers that are heard, this one with them.
-func (c *Core) heardPart() float64 {
-	heard, all := len(c.addresses()), 0
-	for _, n := range c.known {
+// reachableRouterFraction returns the fraction of the known routers that are reachable,
+// including this one.
+func (c *Core) reachableRouterFraction() float64 {
+	reachable, all := len(c.routerAddresses()), 0
+	for _, n := range c.routersByZone {
 		all += n
 	}
-	return float64(heard) / float64(max(all, heard))
+	return float64(reachable) / float64(max(all, reachable))
 }
 
-// inFlightPart is how many of an account's requests this router may have under way: its part
-// by what it and all others have and want, at least its part among all routers, and no more
-// than others leave. As long as it cannot have heard of the others it keeps to the latter.
-// Where some are cut off, those that are heard share a part of the limit, of which one is
-// left at least so that the account is served on.
-func (c *Core) inFlightPart(u *serviceUse) int {
-	l := u.limit
-	most := max(1, int(float64(l.InFlight)*c.heardPart()))
-	least := partOf(most, c.opt.self.Address, c.addresses())
-	if c.now-l.since < newlyActive {
-		return least
+// inFlightQuota returns how many requests of an account this router may have in flight. It
+// divides the limit in proportion to the demand at all routers, up to what the others leave
+// unused, but grants at least an even share. During activationPeriod it grants the even share
+// only. If routers are unreachable it divides only a part of the limit, but at least one
+// request.
+func (c *Core) inFlightQuota(u *accountUsage) int {
+	l := u.limiter
+	limit := max(1, int(float64(l.InFlight)*c.reachableRouterFraction()))
+	evenQuota := evenShare(limit, c.opt.self.Address, c.routerAddresses())
+	if c.now-l.activeSince < activationPeriod {
+		return evenQuota
 	}
 	running, demand := 0, 0
-	for _, x := range u.others {
+	for _, x := range u.peers {
 		running += x.Running
 		demand += x.Running + x.Waiting
 	}
 	own := u.running + u.waiting
 	if demand == 0 || own == 0 {
-		return most
+		return limit
 	}
-	part := most * own / (own + demand)
-	return max(least, min(part, most-running))
+	quota := limit * own / (own + demand)
+	return max(evenQuota, min(quota, limit-running))
 }
 
-// addresses are those of the routers that are heard, and of this one.
-func (c *Core) addresses() []string {
+// routerAddresses returns the addresses of the reachable routers, including this one.
+func (c *Core) routerAddresses() []string {
 	list := []string{c.opt.self.Address}
 	for _, r := range c.routers {
 		if r.Address != c.opt.self.Address {
@@ -120,13 +123,13 @@
 	return list
 }
 
-// partOf divides n evenly among names, of which the first ones get what is left over, and
-// returns the part of one.
-func partOf(n int, one string, names []string) int {
+// evenShare divides n evenly among names, giving the remainder to the first ones in order, and
+// returns the share of one.
+func evenShare(n int, name string, names []string) int {
 	slices.Sort(names)
-	part := n / len(names)
-	if slices.Index(names, one) < n%len(names) {
-		part++
+	share := n / len(names)
+	if slices.Index(names, name) < n%len(names) {
+		share++
 	}
-	return part
+	return share
 }
--- a/pkg/admit/line.go
+++ b/pkg/admit/line.go
@@ -2,30 +2,28 @@
 
 import "time"
 
-// latencyModel predicts the time to the first event of an answer from the tokens that
-// are to be read before it: a straight line through what was seen lately.
+// latencyModel predicts the time to the first event of a response from the number of tokens to
+// be read before it, by linear regression over recent samples.
 type latencyModel struct {
-	// weight, x, y, xx and xy are sums over what was seen, of which older
-	// parts count less; x is in tokens, y in seconds.
+	// Weighted sums over the samples. x is in tokens, y in seconds.
 	weight, x, y, xx, xy float64
 }
 
 const (
-	// fade is what remains of the weight of what was seen with each sample
-	// more, so that about the last 100 count.
-	fade = 0.99
-	// Before anything is seen, an engine is taken to read 100 tokens in a
-	// millisecond and to need 30 ms besides; this counts as priorWeight samples
-	// over prompts of priorSpread tokens.
+	// sampleDecay is the factor by which older samples lose weight with each new one, so that
+	// about the last 100 count.
+	sampleDecay = 0.99
+	// The prior assumes 30 ms plus 10 µs per token, and counts as priorWeight samples at 0 and
+	// at priorSpread tokens.
 	priorSlope  = 1e-5
 	priorBase   = 0.03
 	priorWeight = 10
 	priorSpread = 4000
-	// The slope stays within these, in seconds a token.
-	leastSlope = 1e-6
-	mostSlope  = 1e-3
-	// mostBase bounds the time that is put down to no token, in seconds.
-	mostBase = 1.0
+	// Bounds of the slope, in seconds per token.
+	minSlope = 1e-6
+	maxSlope = 1e-3
+	// maxBase bounds the base, in seconds.
+	maxBase = 1.0
 )
 
 func newLatencyModel() latencyModel {
@@ -44,32 +42,32 @@
 	l.xy += w * x * y
 }
 
-// observe adds a sample: a first event came after a time, when so many tokens were
-// to be read at the start.
+// observe adds a sample: the time to a first event, and the number of tokens to be read before
+// it.
 func (l *latencyModel) observe(tokens int64, took time.Duration) {
-	l.weight *= fade
-	l.x *= fade
-	l.y *= fade
-	l.xx *= fade
-	l.xy *= fade
+	l.weight *= sampleDecay
+	l.x *= sampleDecay
+	l.y *= sampleDecay
+	l.xx *= sampleDecay
+	l.xy *= sampleDecay
 	l.addWeighted(float64(tokens), took.Seconds(), 1)
 }
 
-// slope returns the seconds that a token takes.
+// slope returns the seconds per token.
 func (l *latencyModel) slope() float64 {
 	spread := l.weight*l.xx - l.x*l.x
 	if spread <= 0 {
 		return priorSlope
 	}
-	return min(max((l.weight*l.xy-l.x*l.y)/spread, leastSlope), mostSlope)
+	return min(max((l.weight*l.xy-l.x*l.y)/spread, minSlope), maxSlope)
 }
 
-// base returns the seconds that pass without a token to be read.
+// base returns the time to a first event without any tokens to be read, in seconds.
 func (l *latencyModel) base() float64 {
-	return min(max((l.y-l.slope()*l.x)/l.weight, 0), mostBase)
+	return min(max((l.y-l.slope()*l.x)/l.weight, 0), maxBase)
 }
 
-// predict returns the time to the first event behind so many tokens.
+// predict returns the time to a first event with this many tokens to be read before it.
 func (l *latencyModel) predict(tokens int64) time.Duration {
 	return time.Duration((l.base() + l.slope()*float64(tokens)) * float64(time.Second))
 }
--- a/pkg/admit/load.go
+++ b/pkg/admit/load.go
@@ -2,84 +2,85 @@
 
 import "time"
 
-// An owner that accounts are served by the weights of gives no more places at a backend
-// server than it has slots. What runs there without its knowledge counts too: the requests of
-// routers that fell silent, and those to which a former owner gave places. It knows of them by
-// what the backend server reports.
+// If accounts are scheduled by weight, an owner does not grant more slots than the backend
+// server has. It must also count requests that it does not track: those of holders that fell
+// silent, and those admitted by a former owner. It learns their number from the load that the
+// backend server reports.
 
 const (
-	// GrantTTL is how long a place may be used after it was given, where accounts are
-	// served by weights: no other owner of the backend server gives places so soon.
+	// GrantTTL is how long a granted slot may be used if accounts are scheduled by weight. It
+	// is shorter than the time until another owner grants slots.
 	GrantTTL = 500 * time.Millisecond
-	// settleFor is how long a router that became an owner gives no places, unless the
-	// backend server has reported what runs there: the former owner's may not all be known.
-	settleFor = 1500 * time.Millisecond
-	// ownerLostAfter is how long an owner may stand still and go on as before: after that,
-	// another may have taken its place meanwhile.
-	ownerLostAfter = 400 * time.Millisecond
-	// loadLag is how old a load may be that a backend server reports.
-	loadLag = 500 * time.Millisecond
+	// takeoverDelay is how long a new owner grants no slots, unless the backend server has
+	// reported its load: the new owner may not know all requests in flight.
+	takeoverDelay = 1500 * time.Millisecond
+	// ownershipLossAfter is the length of a pause of this process after which another router
+	// may have taken over ownership.
+	ownershipLossAfter = 400 * time.Millisecond
+	// loadReportLag is the maximum age of a reported load.
+	loadReportLag = 500 * time.Millisecond
 )
 
-// load is what an owner knows of requests that run at a backend server without its knowledge.
+// load describes the requests at a backend server that its owner does not track.
 type load struct {
-	// strangers is how many run.
-	strangers int
-	// most is how many of those it knows ran at most since the last report, mostBefore
-	// between the two before: a report may be a little old.
-	most, mostBefore int
-	// reportedAt is when it last reported, givenUpAt when one was last given up that may run.
-	reportedAt, givenUpAt time.Duration
+	// untracked is the number of these requests.
+	untracked int
+	// peakTracked is the maximum number of tracked requests since the last report,
+	// prevPeakTracked that of the period before, since reports lag.
+	peakTracked, prevPeakTracked int
+	// reportedAt is the time of the last report, abandonedAt when a tracked request was last
+	// abandoned.
+	reportedAt, abandonedAt time.Duration
 }
 
-// BackendLoad is how many requests run at a backend server by its own report.
+// BackendLoad reports the number of requests at a backend server according to itself.
 type BackendLoad struct {
 	Backend  string
 	InFlight int
 }
 
 func (e BackendLoad) apply(c *Core) {
-	for _, s := range c.held {
+	for _, s := range c.ownedServers {
 		if s.Name == e.Backend && s.generation == c.generation {
-			s.owned.reported(e.InFlight, c.now)
+			s.owned.applyLoadReport(e.InFlight, c.now)
 			c.serveQueue(s)
 		}
 	}
 }
 
-func (o *owned) reported(inFlight int, now time.Duration) {
-	strangers := max(0, inFlight-max(o.load.most, o.load.mostBefore, o.running))
-	if now-o.load.givenUpAt < loadLag {
-		strangers = max(strangers, o.load.strangers)
+func (o *ownerState) applyLoadReport(inFlight int, now time.Duration) {
+	untracked := max(0, inFlight-max(o.load.peakTracked, o.load.prevPeakTracked, o.running))
+	if now-o.load.abandonedAt < loadReportLag {
+		untracked = max(untracked, o.load.untracked)
 	}
-	o.load.strangers = strangers
-	o.load.most, o.load.mostBefore = o.running, o.load.most
+	o.load.untracked = untracked
+	o.load.peakTracked, o.load.prevPeakTracked = o.running, o.load.peakTracked
 	o.load.reportedAt = now
 }
 
-// giveUp takes a request out that may still run: its slot counts as a stranger's until the
-// backend server's next report.
-func (o *owned) giveUp(key entryKey, now time.Duration) {
+// abandon stops tracking a request that may still run. It counts as untracked until the next
+// report of the backend server.
+func (o *ownerState) abandon(key entryKey, now time.Duration) {
 	if _, ok := o.entries[key]; !ok {
 		return
 	}
 	o.remove(key)
-	o.load.strangers++
-	o.load.givenUpAt = now
-	o.load.most, o.load.mostBefore = max(0, o.load.most-1), max(0, o.load.mostBefore-1)
+	o.load.untracked++
+	o.load.abandonedAt = now
+	o.load.peakTracked, o.load.prevPeakTracked = max(0, o.load.peakTracked-1), max(0, o.load.prevPeakTracked-1)
 }
 
-// hasSlot reports whether this router may have one more request run at a backend server as
-// its owner.
-func (c *Core) hasSlot(s *server) bool {
+// hasFreeSlot reports whether this router, as the owner of a backend server, may grant one more
+// slot there.
+func (c *Core) hasFreeSlot(s *server) bool {
 	if s.owner != c.opt.self.Address {
 		return false
 	}
-	o := c.ownedOf(s)
+	o := c.ownerStateOf(s)
 	since := s.ownedSince
-	if c.stood.to-c.stood.from >= ownerLostAfter {
-		since = max(since, c.stood.to)
+	if c.pause.to-c.pause.from >= ownershipLossAfter {
+		since = max(since, c.pause.to)
 	}
-	settled := c.now-since >= settleFor || o.load.reportedAt > 0 && o.load.reportedAt-since >= heldGrace
-	return settled && o.running+o.load.strangers < s.Slots
+	settled := c.now-since >= takeoverDelay || o.load.reportedAt > 0 && o.load.reportedAt-since >= syncGrace
+	return settled && o.running+o.load.untracked < s.Slots
 }
--- a/pkg/admit/owned.go
+++ b/pkg/admit/owned.go
@@ -8,201 +8,200 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// owned is what the owner of a backend server knows of it.
-type owned struct {
-	use
+// ownerState is what the owner of a backend server knows about it.
+type ownerState struct {
+	occupancy
 	entries map[entryKey]*entry
-	// queue is what waits for a place, in no order.
-	queue []*asking
+	// queue is the slot requests that wait, in no particular order.
+	queue []*slotRequest
 	load  load
-	// known are the prompts' beginnings that were read there lately.
-	known recent
-	// pace spaces the places while it warms up.
+	// prefixes are the prompt prefixes that it read recently.
+	prefixes recentSet
+	// pace limits the rate of grants during a warm-up.
 	pace pacer
-	// apart is the request that no other joins until apartUntil.
-	apart      entryKey
-	apartUntil time.Duration
+	// exclusive is the request that runs without new neighbors until exclusiveUntil.
+	exclusive      entryKey
+	exclusiveUntil time.Duration
 }
 
-// entryKey names a request among those of all routers.
+// entryKey identifies a request in the fleet.
 type entryKey struct {
 	holder string
 	id     uint64
 }
 
-// entry is a request that is under way.
+// entry is a request in flight.
 type entry struct {
 	unread int64
-	// ahead is the tokens to be read before its first event as known when it
-	// was granted its place.
-	ahead int64
-	since time.Duration
-	// heard is when its holder last told of it.
-	heard time.Duration
+	// ahead is the number of tokens to be read before its first event, as of the grant; 0 if
+	// unknown.
+	ahead     int64
+	startedAt time.Duration
+	// confirmedAt is when the holder last listed it.
+	confirmedAt time.Duration
 }
 
-// asking is a request that waits for a place.
-type asking struct {
+// slotRequest is a request that asks for a slot.
+type slotRequest struct {
 	*wire.Ask
 	from string
-	// until is when its holder waits no more, due when its first event is.
-	until, due time.Duration
+	// expiresAt is when the holder stops waiting, due when the first event is due.
+	expiresAt, due time.Duration
 }
 
-// AttemptTTL is when a request is taken to have ended whose holder does not tell of it
-// any more: its place is given to another.
+// AttemptTTL is the time after which a request that its holder no longer lists counts as ended,
+// and its slot is reassigned.
 const AttemptTTL = 3 * time.Second
 
-// ownedOf returns what this router knows of a backend server as its owner. It
-// acts as one for whoever takes it for the owner.
-func (c *Core) ownedOf(s *server) *owned {
+// ownerStateOf returns the owner state of a backend server. It is created for any backend
+// server for which another router takes this one for the owner.
+func (c *Core) ownerStateOf(s *server) *ownerState {
 	if s.owned == nil {
-		s.owned = &owned{entries: map[entryKey]*entry{}}
-		at, _ := slices.BinarySearchFunc(c.held, s, byName)
-		c.held = slices.Insert(c.held, at, s)
+		s.owned = &ownerState{entries: map[entryKey]*entry{}}
+		at, _ := slices.BinarySearchFunc(c.ownedServers, s, compareNames)
+		c.ownedServers = slices.Insert(c.ownedServers, at, s)
 	}
 	return s.owned
 }
 
-func (o *owned) add(key entryKey, e *entry) {
+func (o *ownerState) add(key entryKey, e *entry) {
 	o.remove(key)
 	o.entries[key] = e
 	o.running++
-	o.load.most = max(o.load.most, o.running)
+	o.load.peakTracked = max(o.load.peakTracked, o.running)
 	o.unread += e.unread
 }
 
-func (o *owned) remove(key entryKey) {
+func (o *ownerState) remove(key entryKey) {
 	e, ok := o.entries[key]
 	if !ok {
 		return
 	}
 	delete(o.entries, key)
-	o.join(key)
+	o.clearExclusive(key)
 	o.running--
 	o.unread -= e.unread
 }
 
-// read notes that an entry's prompt has been read.
-func (o *owned) read(e *entry) {
+// markRead records that a prompt has been read.
+func (o *ownerState) markRead(e *entry) {
 	o.unread -= e.unread
 	e.unread = 0
 	e.ahead = 0
 }
 
-// asked answers a router that asks for a place.
-func (c *Core) asked(from string, m *wire.Ask) {
+// handleAsk replies to a slot request.
+func (c *Core) handleAsk(from string, m *wire.Ask) {
 	s, ok := c.servers[m.Server]
-	if !ok || !s.open() {
+	if !ok || !s.isOpen() {
 		if ok {
-			c.tellLeaving(s, from)
+			c.notifyLeaving(s, from)
 		}
 		c.send(from, &wire.Reply{ID: m.ID, Server: m.Server, State: wire.PlaceDenied})
 		return
 	}
-	if c.weights != nil && from != c.opt.self.Address {
-		c.weights.asked(useKey{wire.KeyOf(c.serviceOf(s).name), m.Account}, c.now)
+	if c.weighted != nil && from != c.opt.self.Address {
+		c.weighted.notePeerWaiting(usageKey{wire.KeyOf(c.serviceOf(s).name), m.Account}, c.now)
 	}
-	o := c.ownedOf(s)
-	firstAsk := !m.Spill && !m.Begun
-	if firstAsk {
-		c.serviceOf(s).shortest.observe(c.now, time.Duration(m.TargetMillis)*time.Millisecond)
+	o := c.ownerStateOf(s)
+	isFirstAsk := !m.Spill && !m.Begun
+	if isFirstAsk {
+		c.serviceOf(s).shortestTarget.observe(c.now, time.Duration(m.TargetMillis)*time.Millisecond)
 	}
-	a := &asking{
+	a := &slotRequest{
 		Ask: m, from: from,
-		until: c.now + time.Duration(m.WaitMillis)*time.Millisecond,
-		due:   c.now + time.Duration(m.TargetMillis)*time.Millisecond,
+		expiresAt: c.now + time.Duration(m.WaitMillis)*time.Millisecond,
+		due:       c.now + time.Duration(m.TargetMillis)*time.Millisecond,
 	}
-	granted := (len(o.queue) == 0 || !m.Spill) && c.grant(s, a)
-	if firstAsk {
-		c.noteAsked(m.Account, granted)
+	granted := (len(o.queue) == 0 || !m.Spill) && c.tryGrant(s, a)
+	if isFirstAsk {
+		c.recordAdmission(m.Account, granted)
 	}
 	switch {
 	case granted:
-	case m.Spill || c.now >= a.until || c.weights != nil && s.owner != c.opt.self.Address:
-		c.answer(s, a, wire.PlaceDenied)
+	case m.Spill || c.now >= a.expiresAt || c.weighted != nil && s.owner != c.opt.self.Address:
+		c.reply(s, a, wire.PlaceDenied)
 	default:
-		o.queue = append(slices.DeleteFunc(o.queue, func(x *asking) bool { return x.from == from && x.ID == m.ID }), a)
-		c.answer(s, a, wire.PlaceQueued)
+		o.queue = append(slices.DeleteFunc(o.queue, func(x *slotRequest) bool { return x.from == from && x.ID == m.ID }), a)
+		c.reply(s, a, wire.PlaceQueued)
 	}
 }
 
-func (c *Core) answer(s *server, a *asking, state wire.PlaceState) {
-	o := c.ownedOf(s)
+func (c *Core) reply(s *server, a *slotRequest, state wire.PlaceState) {
+	o := c.ownerStateOf(s)
 	c.send(a.from, &wire.Reply{ID: a.ID, Server: s.key, State: state, Running: o.running, Unread: o.unread})
 }
 
-// grant gives a request a place if there is one for it.
-func (c *Core) grant(s *server, a *asking) bool {
-	o := c.ownedOf(s)
-	sv := c.serviceOf(s)
-	toRead := o.toRead(a.Ask, c.now)
-	if !c.hasPlace(sv, s, a, toRead) {
+// tryGrant grants a slot if the backend server can take the request now.
+func (c *Core) tryGrant(s *server, a *slotRequest) bool {
+	o := c.ownerStateOf(s)
+	svc := c.serviceOf(s)
+	toRead := o.tokensToRead(a.Ask, c.now)
+	if !c.canAdmit(svc, s, a, toRead) {
 		return false
 	}
-	fetch := a.Fetch && !o.keeps(a.Ask, c.now)
-	e := &entry{unread: toRead, ahead: o.unread + toRead, since: c.now, heard: c.now}
+	fetch := a.Fetch && !o.hasPrefix(a.Ask, c.now)
+	e := &entry{unread: toRead, ahead: o.unread + toRead, startedAt: c.now, confirmedAt: c.now}
 	key := entryKey{a.from, a.ID}
 	o.add(key, e)
 	if a.Alone {
-		o.setApart(key, c.now)
+		o.setExclusive(key, c.now)
 	}
-	c.noteStart(s)
-	if c.weights != nil && a.from != c.opt.self.Address {
-		c.weights.noteGiven(useKey{wire.KeyOf(sv.name), a.Account}, c.now)
+	c.recordStart(s)
+	if c.weighted != nil && a.from != c.opt.self.Address {
+		c.weighted.recordGrant(usageKey{wire.KeyOf(svc.name), a.Account}, c.now)
 	}
 	if a.Prefix != 0 {
-		o.known.note(a.Prefix, c.now)
+		o.prefixes.add(a.Prefix, c.now)
 	}
 	c.send(a.from, &wire.Reply{
 		ID: a.ID, Server: s.key, State: wire.PlaceGranted, Running: o.running, Unread: o.unread,
-		Fetch: fetch, Own: toRead, Ahead: e.ahead, ExpectedMillis: sv.latency.predict(e.ahead).Milliseconds(),
+		Fetch: fetch, Own: toRead, Ahead: e.ahead, ExpectedMillis: svc.latency.predict(e.ahead).Milliseconds(),
 	})
 	return true
 }
 
-// keeps reports whether the shared parts of a prompt are kept.
-func (o *owned) keeps(m *wire.Ask, now time.Duration) bool {
-	return m.Prefix != 0 && o.known.has(m.Prefix, now)
+// hasPrefix reports whether the backend server has the shared prefix of a prompt.
+func (o *ownerState) hasPrefix(m *wire.Ask, now time.Duration) bool {
+	return m.Prefix != 0 && o.prefixes.has(m.Prefix, now)
 }
 
-// toRead returns how many tokens of a prompt are to be read: what is neither
-// kept nor copied from elsewhere.
-func (o *owned) toRead(m *wire.Ask, now time.Duration) int64 {
-	if m.Fetch || o.keeps(m, now) {
+// tokensToRead returns the number of prompt tokens that are neither cached nor copied from
+// another backend server.
+func (o *ownerState) tokensToRead(m *wire.Ask, now time.Duration) int64 {
+	if m.Fetch || o.hasPrefix(m, now) {
 		return m.Prompt - m.Shared
 	}
 	return m.Prompt
 }
 
-// serveOwned gives what places there are at this router's backend servers.
-func (c *Core) serveOwned() {
-	for _, s := range c.held {
+// serveQueues grants the free slots of the backend servers owned here.
+func (c *Core) serveQueues() {
+	for _, s := range c.ownedServers {
 		if len(s.owned.queue) > 0 {
 			c.serveQueue(s)
 		}
 	}
 }
 
-// serveQueue gives places to what waits, in order, and drops what waits no
-// more.
+// serveQueue grants slots to queued requests in order, and denies those that have expired.
 func (c *Core) serveQueue(s *server) {
 	o := s.owned
 	if len(o.queue) == 0 {
 		return
 	}
-	if c.weights != nil {
-		c.serveByWeight(s)
+	if c.weighted != nil {
+		c.serveQueueByWeight(s)
 		return
 	}
-	c.order(o.queue)
+	c.sortQueue(o.queue)
 	left := o.queue[:0]
 	for _, a := range o.queue {
 		switch {
-		case c.now >= a.until || !s.open():
-			c.tellLeaving(s, a.from)
-			c.answer(s, a, wire.PlaceDenied)
-		case !c.grant(s, a):
+		case c.now >= a.expiresAt || !s.isOpen():
+			c.notifyLeaving(s, a.from)
+			c.reply(s, a, wire.PlaceDenied)
+		case !c.tryGrant(s, a):
 			left = append(left, a)
 		}
 	}
@@ -210,47 +209,47 @@
 	o.queue = left
 }
 
-// serveByWeight gives places to the accounts that had the least service, one after the other:
-// each place that is given changes the order.
-func (c *Core) serveByWeight(s *server) {
+// serveQueueByWeight grants slots to the account with the least virtual time. Each grant
+// changes that order.
+func (c *Core) serveQueueByWeight(s *server) {
 	o := s.owned
-	o.queue = slices.DeleteFunc(o.queue, func(a *asking) bool {
-		if c.now < a.until && s.open() && s.owner == c.opt.self.Address {
+	o.queue = slices.DeleteFunc(o.queue, func(a *slotRequest) bool {
+		if c.now < a.expiresAt && s.isOpen() && s.owner == c.opt.self.Address {
 			return false
 		}
-		c.tellLeaving(s, a.from)
-		c.answer(s, a, wire.PlaceDenied)
+		c.notifyLeaving(s, a.from)
+		c.reply(s, a, wire.PlaceDenied)
 		return true
 	})
 	for len(o.queue) > 0 {
-		first := slices.MinFunc(o.queue, func(a, b *asking) int { return cmp.Or(compareFirst(a.Begun, b.Begun), c.compareLag(s, a, b)) })
-		if !c.grant(s, first) {
+		first := slices.MinFunc(o.queue, func(a, b *slotRequest) int { return cmp.Or(trueFirst(a.Begun, b.Begun), c.compareVirtualTime(s, a, b)) })
+		if !c.tryGrant(s, first) {
 			return
 		}
-		o.queue = slices.DeleteFunc(o.queue, func(a *asking) bool { return a == first })
+		o.queue = slices.DeleteFunc(o.queue, func(a *slotRequest) bool { return a == first })
 	}
 }
 
-// order sorts what waits: what has begun before, then by rank, by what the
-// account has had, by when the first event is due.
-func (c *Core) order(queue []*asking) {
-	over := make(map[wire.Key]float64, len(queue))
+// sortQueue orders slot requests: those that may have run go first, then by rank, by the
+// account's usage relative to its fair share, and by due time.
+func (c *Core) sortQueue(queue []*slotRequest) {
+	usage := make(map[wire.Key]float64, len(queue))
 	for _, a := range queue {
-		if _, ok := over[a.Account]; !ok {
-			over[a.Account] = c.accounts.over(a.Account, c.now)
+		if _, ok := usage[a.Account]; !ok {
+			usage[a.Account] = c.accounts.usageRatio(a.Account, c.now)
 		}
 	}
-	slices.SortStableFunc(queue, func(a, b *asking) int {
+	slices.SortStableFunc(queue, func(a, b *slotRequest) int {
 		return cmp.Or(
-			compareFirst(a.Begun, b.Begun),
+			trueFirst(a.Begun, b.Begun),
 			cmp.Compare(a.AccountRank, b.AccountRank), cmp.Compare(a.Rank, b.Rank),
-			cmp.Compare(over[a.Account], over[b.Account]), cmp.Compare(a.due, b.due),
+			cmp.Compare(usage[a.Account], usage[b.Account]), cmp.Compare(a.due, b.due),
 		)
 	})
 }
 
-// compareFirst puts what is true first.
-func compareFirst(a, b bool) int {
+// trueFirst orders true before false.
+func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -261,101 +260,100 @@
 	}
 }
 
-// handleRequestUpdate updates the owner's record of a request from a report of the
-// router that holds it.
+// handleRequestUpdate updates the owner's record of a request from a report of its holder.
 func (c *Core) handleRequestUpdate(from string, m *wire.Note) {
 	s, ok := c.servers[m.Server]
 	if !ok {
 		return
 	}
-	o := c.ownedOf(s)
+	o := c.ownerStateOf(s)
 	key := entryKey{from, m.ID}
 	switch m.Kind {
 	case wire.NoteStarted:
-		o.add(key, &entry{unread: m.Unread, since: c.now, heard: c.now})
-		c.noteStart(s)
+		o.add(key, &entry{unread: m.Unread, startedAt: c.now, confirmedAt: c.now})
+		c.recordStart(s)
 		return
 	case wire.NoteFirst:
-		o.join(key)
+		o.clearExclusive(key)
 		if e, ok := o.entries[key]; ok {
-			c.firstCame(s, e, time.Duration(m.Millis)*time.Millisecond)
+			c.observeFirstEvent(s, e, time.Duration(m.Millis)*time.Millisecond)
 		}
 	case wire.NoteEnded:
-		s.doubt(c.now, Result(m.Result))
+		s.recordOutcome(c.now, Result(m.Result))
 		o.remove(key)
 	case wire.NoteCancel:
-		o.queue = slices.DeleteFunc(o.queue, func(a *asking) bool { return a.from == from && a.ID == m.ID })
+		o.queue = slices.DeleteFunc(o.queue, func(a *slotRequest) bool { return a.from == from && a.ID == m.ID })
 	}
 	c.serveQueue(s)
 }
 
-// firstCame learns from the time to a first event.
-func (c *Core) firstCame(s *server, e *entry, took time.Duration) {
+// observeFirstEvent updates the latency model with the time to a first event.
+func (c *Core) observeFirstEvent(s *server, e *entry, took time.Duration) {
 	if e.ahead > 0 {
 		latency := &c.serviceOf(s).latency
-		s.health.first(took, latency.predict(e.ahead))
+		s.health.observeFirstEvent(took, latency.predict(e.ahead))
 		latency.observe(e.ahead, took)
 	}
-	s.owned.read(e)
+	s.owned.markRead(e)
 }
 
-// heldGrace is how long ago a place must have been given to be taken back when
-// its holder does not list it: the list may have been under way meanwhile.
-const heldGrace = 200 * time.Millisecond
+// syncGrace is the least age of an entry that is removed because its holder does not list it.
+// The list may have been sent before the grant arrived.
+const syncGrace = 200 * time.Millisecond
 
-// reconcileInFlight replaces the owner's view of what one holder has in flight at
-// some backend servers with that holder's full list.
+// reconcileInFlight replaces the owner's view of what one holder has in flight at some backend
+// servers with that holder's full list.
 func (c *Core) reconcileInFlight(from string, m *wire.Sync) {
 	for _, h := range m.Held {
 		if s, ok := c.servers[h.Server]; ok {
-			c.replaceHeld(s, from, h)
+			c.reconcileServer(s, from, h)
 			c.serveQueue(s)
 		}
 	}
 }
 
-func (c *Core) replaceHeld(s *server, from string, h wire.Held) {
-	o := c.ownedOf(s)
+func (c *Core) reconcileServer(s *server, from string, h wire.Held) {
+	o := c.ownerStateOf(s)
 	listed := make(map[uint64]bool, len(h.IDs))
 	for i, id := range h.IDs {
 		listed[id] = true
 		key := entryKey{from, id}
 		if e, ok := o.entries[key]; ok {
-			e.heard = c.now
+			e.confirmedAt = c.now
 			continue
 		}
 		if i < len(h.Unread) {
-			o.add(key, &entry{unread: h.Unread[i], since: c.now, heard: c.now})
+			o.add(key, &entry{unread: h.Unread[i], startedAt: c.now, confirmedAt: c.now})
 		}
 	}
 	for key, e := range o.entries {
-		if key.holder == from && !listed[key.id] && c.now-e.since >= heldGrace {
+		if key.holder == from && !listed[key.id] && c.now-e.startedAt >= syncGrace {
 			o.remove(key)
 		}
 	}
 }
 
-// dropHolder forgets all that a router had under way and asked for.
-func (c *Core) dropHolder(from string) {
-	for _, s := range c.held {
+// dropHolder removes all entries and queued slot requests of a holder.
+func (c *Core) dropHolder(holder string) {
+	for _, s := range c.ownedServers {
 		for key := range s.owned.entries {
-			if key.holder == from {
-				s.owned.giveUp(key, c.now)
+			if key.holder == holder {
+				s.owned.abandon(key, c.now)
 			}
 		}
-		s.owned.queue = slices.DeleteFunc(s.owned.queue, func(a *asking) bool { return a.from == from })
+		s.owned.queue = slices.DeleteFunc(s.owned.queue, func(a *slotRequest) bool { return a.from == holder })
 		c.serveQueue(s)
 	}
 }
 
-// idle reports whether nothing is under way or waits.
-func (o *owned) idle() bool { return len(o.entries) == 0 && len(o.queue) == 0 }
+// idle reports whether no request is in flight or queued.
+func (o *ownerState) idle() bool { return len(o.entries) == 0 && len(o.queue) == 0 }
 
-// dropLost forgets requests whose holders do not tell of them any more.
-func (o *owned) dropLost(now time.Duration) {
+// expireEntries removes entries that their holders no longer list.
+func (o *ownerState) expireEntries(now time.Duration) {
 	for key, e := range o.entries {
-		if now-e.heard >= AttemptTTL {
-			o.giveUp(key, now)
+		if now-e.confirmedAt >= AttemptTTL {
+			o.abandon(key, now)
 		}
 	}
 }
--- a/pkg/admit/owners.go
+++ b/pkg/admit/owners.go
@@ -6,83 +6,82 @@
 	"github.com/yarrowmast/yarrowmast/pkg/rendezvous"
 )
 
-// Routers replaces the routers that are heard and do not leave, without this
-// one.
+// Routers replaces the list of live routers that are not leaving, without this one.
 type Routers struct {
 	List []Router
-	// Leaving says that this router leaves.
+	// Leaving says that this router is leaving.
 	Leaving bool
-	// KnownByZone is how many routers are known in each zone: those listed, this one, and
-	// those that fell silent lately. Nil if nobody counts.
+	// KnownByZone counts the known routers of each zone: those listed, this one, and those that
+	// fell silent recently. It is nil if the counts are unknown.
 	KnownByZone map[string]int
 }
 
 func (e Routers) apply(c *Core) {
 	before := c.routers
-	c.known = e.KnownByZone
+	c.routersByZone = e.KnownByZone
 	c.routers = slices.Clone(e.List)
-	if len(e.List) > 0 && c.joined == 0 {
-		c.joined = c.now
+	if len(e.List) > 0 && c.firstPeerAt == 0 {
+		c.firstPeerAt = c.now
 	}
 	if !e.Leaving || len(c.routers) == 0 {
 		c.routers = append(c.routers, c.opt.self)
 	}
-	c.findCutOff()
-	c.reassign(before)
+	c.updateUnreachableZones()
+	c.reassignOwners(before)
 	c.advanceWaiting()
 }
 
-// candidates are the routers that may own the backend servers of a zone: those of the
-// zone, or all where none of the zone is heard.
-type candidates struct {
+// ownerCandidates are the routers that may own the backend servers of a zone: those of the
+// zone, or all if the zone has no live router.
+type ownerCandidates struct {
 	list []Router
-	// joined may own them since the last change, left may not any more.
-	joined []Router
-	left   map[string]bool
-	// all says that the candidates are others than before.
-	all bool
+	// added became candidates with the last change, removed are no longer candidates.
+	added   []Router
+	removed map[string]bool
+	// replaced says that the previous candidates were other routers altogether: those of the
+	// zone instead of all, or the reverse.
+	replaced bool
 }
 
-// reassign finds the owners that change with the routers. Only what a router that
-// joined takes over, and what one that left owned, is worked out anew: all owners at
-// each change took 30 ms at 300 routers before 3,000 backend servers, 9 s of processor
-// time a router where all start at once.
-func (c *Core) reassign(before []Router) {
-	was, is := byZone(before), byZone(c.routers)
-	zones := map[string]*candidates{}
-	for _, s := range c.ordered {
+// reassignOwners updates the owners after a change of the routers. It considers only the
+// routers that joined and the backend servers of those that left: reassigning everything is too
+// slow in large fleets.
+func (c *Core) reassignOwners(before []Router) {
+	zonesBefore, zonesNow := groupByZone(before), groupByZone(c.routers)
+	zones := map[string]*ownerCandidates{}
+	for _, s := range c.sortedServers {
 		cs, ok := zones[s.Zone]
 		if !ok {
-			cs = candidatesOf(s.Zone, was, is, before, c.routers)
+			cs = candidatesOf(s.Zone, zonesBefore, zonesNow, before, c.routers)
 			zones[s.Zone] = cs
 		}
 		switch {
-		case cs.all || s.owner == "" || cs.left[s.owner]:
-			c.assign(s, cs.list, "", 0)
-		case len(cs.joined) > 0:
-			c.assign(s, cs.joined, s.owner, s.ownerScore)
+		case cs.replaced || s.owner == "" || cs.removed[s.owner]:
+			c.assignOwner(s, cs.list, "", 0)
+		case len(cs.added) > 0:
+			c.assignOwner(s, cs.added, s.owner, s.ownerScore)
 		}
 	}
-	c.accounts.capacity = c.stated * c.reachable()
+	c.accounts.capacity = c.statedCapacity * c.reachableEngineFraction()
 }
 
-// assignNew finds the owners of the backend servers that have none.
-func (c *Core) assignNew() {
-	is := byZone(c.routers)
-	for _, s := range c.ordered {
+// assignMissingOwners assigns the backend servers without an owner.
+func (c *Core) assignMissingOwners() {
+	zonesNow := groupByZone(c.routers)
+	for _, s := range c.sortedServers {
 		if s.owner != "" {
 			continue
 		}
-		from := is[s.Zone]
+		from := zonesNow[s.Zone]
 		if len(from) == 0 {
 			from = c.routers
 		}
-		c.assign(s, from, "", 0)
+		c.assignOwner(s, from, "", 0)
 	}
-	c.accounts.capacity = c.stated * c.reachable()
+	c.accounts.capacity = c.statedCapacity * c.reachableEngineFraction()
 }
 
-func byZone(routers []Router) map[string][]Router {
+func groupByZone(routers []Router) map[string][]Router {
 	zones := map[string][]Router{}
 	for _, r := range routers {
 		zones[r.Zone] = append(zones[r.Zone], r)
@@ -90,36 +89,36 @@
 	return zones
 }
 
-func candidatesOf(zone string, was, is map[string][]Router, before, now []Router) *candidates {
-	old, list := was[zone], is[zone]
-	cs := &candidates{all: (len(old) == 0) != (len(list) == 0)}
+func candidatesOf(zone string, zonesBefore, zonesNow map[string][]Router, before, now []Router) *ownerCandidates {
+	old, list := zonesBefore[zone], zonesNow[zone]
+	cs := &ownerCandidates{replaced: (len(old) == 0) != (len(list) == 0)}
 	if len(list) == 0 {
 		old, list = before, now
 	}
 	cs.list = list
-	if cs.all {
+	if cs.replaced {
 		return cs
 	}
-	left := make(map[Router]bool, len(old))
+	removed := make(map[Router]bool, len(old))
 	for _, r := range old {
-		left[r] = true
+		removed[r] = true
 	}
 	for _, r := range list {
-		if !left[r] {
-			cs.joined = append(cs.joined, r)
+		if !removed[r] {
+			cs.added = append(cs.added, r)
 		}
-		delete(left, r)
+		delete(removed, r)
 	}
-	cs.left = make(map[string]bool, len(left))
-	for r := range left {
-		cs.left[r.Address] = true
+	cs.removed = make(map[string]bool, len(removed))
+	for r := range removed {
+		cs.removed[r.Address] = true
 	}
 	return cs
 }
 
-// assign makes the best of some routers the owner of a backend server, unless another
-// one has a better score, and tells a new owner what is under way there.
-func (c *Core) assign(s *server, from []Router, owner string, score float64) {
+// assignOwner makes the candidate with the best score the owner of a backend server, unless the
+// current owner's score is better. It sends a new owner the requests in flight there.
+func (c *Core) assignOwner(s *server, from []Router, owner string, score float64) {
 	for i := range from {
 		r := &from[i]
 		x := rendezvous.Score(s.Name, r.Address, r.Weight())
@@ -135,35 +134,36 @@
 	if owner == c.opt.self.Address {
 		s.ownedSince = c.now
 	}
-	c.tellHeld(s)
+	c.sendHeld(s)
 }
 
-// reachable returns which part of the engines is in zones of which a router is
-// heard and that are not closed, 1 if there are no engines.
-func (c *Core) reachable() float64 {
+// reachableEngineFraction returns the fraction of engines in open zones with a live router, 1
+// if there are no engines.
+func (c *Core) reachableEngineFraction() float64 {
 	zones := map[string]bool{c.opt.self.Zone: true}
 	for _, r := range c.routers {
 		zones[r.Zone] = true
 	}
-	all, near := 0, 0
-	for _, sv := range c.services {
-		if !sv.engine {
+	all, reachable := 0, 0
+	for _, svc := range c.services {
+		if !svc.engine {
 			continue
 		}
-		for _, s := range sv.servers {
+		for _, s := range svc.servers {
 			all++
-			if zones[s.Zone] && !s.closed {
-				near++
+			if zones[s.Zone] && !s.zoneClosed {
+				reachable++
 			}
 		}
 	}
 	if all == 0 {
 		return 1
 	}
-	return float64(near) / float64(all)
+	return float64(reachable) / float64(all)
 }
 
-// Weight returns the share of processors to choose by, 1 where it is not stated.
+// Weight returns the router's weight in rendezvous hashing: its capacity, or 1 if that is
+// unknown.
 func (r *Router) Weight() float64 {
 	if r.Capacity <= 0 {
 		return 1
--- a/pkg/admit/pace.go
+++ b/pkg/admit/pace.go
@@ -9,179 +9,172 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// CapacityEstimator is how many requests a second a router can work on. It begins with what its
-// processors should do and is corrected by how late the router hears of what came to its
-// sockets.
+// CapacityEstimator estimates how many requests per second a router can process. It starts from
+// the processors available and adjusts the estimate by the delay with which the router
+// processes received messages.
 //
-// The number is an absolute one: a part of what comes, learned from lateness, is wrong as
-// soon as more comes. In a flood of 1,000 requests a second a router with a fifth of a
-// core let in all of the first 660, heard of that a second later, cut the part to its
-// floor, and swung between the two, at half of its processor time.
+// The estimate is an absolute rate. A fraction of the arriving requests would be wrong as soon
+// as the arrival rate changes, and would oscillate under overload.
 type CapacityEstimator struct {
-	// rate is how many requests a second it can work on while it refuses none; from
-	// least to most.
-	rate, least, most float64
-	// late is the lateness, faded; brake, from 0 to 1, is the part of the rate that is
-	// given while that has to be made up for.
-	late  time.Duration
-	brake float64
-	// cutAt is when the rate was last cut.
+	// rate is the number of requests per second that it can process without refusals, between
+	// minRate and maxRate.
+	rate, minRate, maxRate float64
+	// delay is the moving average of the processing delay. throttle, from 0 to 1, scales the
+	// rate until the backlog has been processed.
+	delay    time.Duration
+	throttle float64
+	// cutAt is when the rate was last reduced.
 	cutAt time.Duration
-	// wants is how many requests of each account are to be worked on a second, and
-	// refusals how many are refused, both faded.
-	wants    map[wire.Key]float64
+	// demand is the arrival rate of requests by account, refusals the rate of refusals, both
+	// moving averages.
+	demand   map[wire.Key]float64
 	refusals float64
-	// part is the part of what was wanted that the last plan let in.
-	part float64
+	// admitted is the fraction of the demand that the last plan admitted.
+	admitted float64
 }
 
 const (
-	// ratePerCore is how many requests a second a core works on, streams of some 8
-	// pieces: 0.53 ms each, by least squares over 26 seconds of routers short of time,
-	// less a tenth for what it does besides.
+	// ratePerCore is the initial estimate of requests per second and core.
 	ratePerCore = 1700
-	// leastRate and mostRate bound what is learned, in parts of what the processors
-	// should do.
-	leastRate = 0.15
-	mostRate  = 6
-	// refusalPart is what a refusal costs of a request that is worked on: in a second of a
-	// router with a fifth of a core that is always late, 2,745 of them beside 25 requests
-	// that were worked on.
-	refusalPart = 0.08
-	// forwardPart is what a request costs that is handed on: its bytes are passed on in
-	// some ten pieces.
-	forwardPart = 0.3
-	// keptPart of its time a router spends on requests of its own while it hands on others.
-	keptPart = 0.25
-	// lateLimit is the lateness from which a router takes in less. A request takes
-	// the way to an owner and back, and is late each time that this router hears
-	// of it; the shortest patience is 50 ms. At lateFull it takes in nothing until
-	// that is made up for.
-	lateLimit = 12 * time.Millisecond
-	lateFull  = 60 * time.Millisecond
-	// lateWeight is the weight of one more lateness.
-	lateWeight = 0.3
-	// slower is by how much the rate is cut for a lateness of lateFull, once in
-	// cutEvery and no sooner than what was late has been heard of: what came before
-	// the last cut says nothing of the rate after it. faster is by how much it grows
-	// with each plan that lets in less than was wanted.
-	slower   = 0.1
-	cutEvery = 150 * time.Millisecond
-	faster   = 0.02
-	// busyFrom is the part of its rate from which lateness is put down to requests.
-	busyFrom = 0.5
-	// wantWeight is the weight of one more count of what is wanted.
-	wantWeight = 0.4
-	// spare is the part of the rate up to which all that is wanted is let in.
-	spare = 0.95
-	// burstFor is for how long the whole rate may come at once, whatever a plan says: a
-	// plan may be late itself, in the first second of a flood by as much.
-	burstFor = 150 * time.Millisecond
+	// minRateFraction and maxRateFraction bound the rate relative to the initial estimate.
+	minRateFraction = 0.15
+	maxRateFraction = 6
+	// refusalCost is the cost of a refusal relative to a processed request.
+	refusalCost = 0.08
+	// forwardCost is the cost of forwarding a request to another router relative to processing
+	// it.
+	forwardCost = 0.3
+	// localWorkFraction is the fraction of its time that a router keeps for its own requests
+	// while it forwards others.
+	localWorkFraction = 0.25
+	// delayThreshold is the delay from which a router admits fewer requests. Each message to
+	// and from an owner is delayed by as much, and the shortest maximum waits are 50 ms. From
+	// delayLimit on it admits none.
+	delayThreshold = 12 * time.Millisecond
+	delayLimit     = 60 * time.Millisecond
+	// delayWeight is the weight of a new sample.
+	delayWeight = 0.3
+	// rateDecrease is the relative reduction of the rate at delayLimit. Reductions are at least
+	// rateCutInterval and the current delay apart, since messages received before the last one
+	// do not reflect it. rateIncrease is the relative increase with each plan that admits less
+	// than the demand.
+	rateDecrease    = 0.1
+	rateCutInterval = 150 * time.Millisecond
+	rateIncrease    = 0.02
+	// busyFraction is the fraction of its rate from which a delay is attributed to requests.
+	busyFraction = 0.5
+	// demandWeight is the weight of a new sample.
+	demandWeight = 0.4
+	// admitAllFraction is the fraction of the capacity up to which all demand is admitted.
+	admitAllFraction = 0.95
+	// burstPeriod is the period whose requests may arrive at once regardless of the plan, since
+	// plans are late under overload.
+	burstPeriod = 150 * time.Millisecond
 )
 
-// NewCapacityEstimator returns the pace of a router with a share of processors, 0 if that is not
-// known.
+// NewCapacityEstimator returns an estimator for a number of processors, 0 if unknown.
 func NewCapacityEstimator(processors float64) *CapacityEstimator {
 	if processors <= 0 {
 		processors = 1
 	}
 	rate := ratePerCore * processors
-	return &CapacityEstimator{rate: rate, least: leastRate * rate, most: mostRate * rate, brake: 1, wants: map[wire.Key]float64{}, part: 1}
+	return &CapacityEstimator{rate: rate, minRate: minRateFraction * rate, maxRate: maxRateFraction * rate, throttle: 1, demand: map[wire.Key]float64{}, admitted: 1}
 }
 
-// ObserveDelay takes in how late the router heard of something at a time.
-func (p *CapacityEstimator) ObserveDelay(now, late time.Duration) {
-	p.late += time.Duration(lateWeight * float64(late-p.late))
-	excess := float64(late-lateLimit) / float64(lateFull-lateLimit)
-	p.brake = 1 - min(1, max(0, excess))
-	if excess <= 0 || now-p.cutAt < max(cutEvery, late) || p.wanted()+refusalPart*p.refusals < busyFrom*p.rate {
+// ObserveDelay adds a sample of the processing delay.
+func (p *CapacityEstimator) ObserveDelay(now, delay time.Duration) {
+	p.delay += time.Duration(delayWeight * float64(delay-p.delay))
+	excess := float64(delay-delayThreshold) / float64(delayLimit-delayThreshold)
+	p.throttle = 1 - min(1, max(0, excess))
+	if excess <= 0 || now-p.cutAt < max(rateCutInterval, delay) || p.totalDemand()+refusalCost*p.refusals < busyFraction*p.rate {
 		return
 	}
 	p.cutAt = now
-	p.rate = max(p.least, p.rate*(1-slower*min(1, excess)))
+	p.rate = max(p.minRate, p.rate*(1-rateDecrease*min(1, excess)))
 }
 
-func (p *CapacityEstimator) wanted() float64 {
+func (p *CapacityEstimator) totalDemand() float64 {
 	sum := 0.0
-	for _, want := range p.wants {
-		sum += want
+	for _, demand := range p.demand {
+		sum += demand
 	}
 	return sum
 }
 
-// AdmissionPlan is how many requests are let in until the next plan.
+// AdmissionPlan bounds the requests to admit until the next plan.
 type AdmissionPlan struct {
-	// PerAccount is how many requests a second are let in of one account, infinite if all
+	// PerAccount is the number of requests per second to admit of each account, infinite if all
 	// are.
 	PerAccount float64
-	// Burst is how many are let in at the most, of all accounts.
+	// Burst is the maximum number of requests to admit, of all accounts together.
 	Burst int
-	// Forward is how many more a second may be handed on to other routers.
+	// Forward is the number of further requests per second that may be forwarded to other
+	// routers.
 	Forward float64
 }
 
-// Plan works out how many requests are let in, from how many came in some time that were
-// to be worked on, by account, and how many were refused. As much of each account is let
-// in up to a level that is the same for all. Where others may take requests over, so much
-// of the time goes to handing them on that as many as possible are worked on somewhere.
-func (p *CapacityEstimator) Plan(in time.Duration, came map[wire.Key]int, refused int, others bool) AdmissionPlan {
-	p.count(in, came, refused)
-	can := max(p.least, p.rate-refusalPart*p.refusals) * p.brake
-	wanted := p.wanted()
-	plan := AdmissionPlan{PerAccount: math.Inf(1), Burst: int(math.Ceil(p.rate * burstFor.Seconds()))}
-	if wanted <= spare*can {
-		p.part = 1
+// Plan returns the plan for the next period from the requests that arrived in the last one, by
+// account, and the number refused. It divides the capacity among accounts by max-min fairness.
+// If requests can be forwarded, it reserves as much time for that as maximizes the requests
+// processed in the fleet.
+func (p *CapacityEstimator) Plan(period time.Duration, arrived map[wire.Key]int, refused int, canForward bool) AdmissionPlan {
+	p.observeDemand(period, arrived, refused)
+	capacity := max(p.minRate, p.rate-refusalCost*p.refusals) * p.throttle
+	demand := p.totalDemand()
+	plan := AdmissionPlan{PerAccount: math.Inf(1), Burst: int(math.Ceil(p.rate * burstPeriod.Seconds()))}
+	if demand <= admitAllFraction*capacity {
+		p.admitted = 1
 		return plan
 	}
-	p.part = min(1, can/wanted)
-	if p.brake == 1 {
-		p.rate = min(p.most, p.rate*(1+faster))
+	p.admitted = min(1, capacity/demand)
+	if p.throttle == 1 {
+		p.rate = min(p.maxRate, p.rate*(1+rateIncrease))
 	}
-	if others {
-		plan.Forward = min(max(0, wanted-can)/(1-forwardPart), can*(1-keptPart)/forwardPart)
-		can -= forwardPart * plan.Forward
+	if canForward {
+		plan.Forward = min(max(0, demand-capacity)/(1-forwardCost), capacity*(1-localWorkFraction)/forwardCost)
+		capacity -= forwardCost * plan.Forward
 	}
-	plan.PerAccount = fill(slices.Collect(maps.Values(p.wants)), can)
+	plan.PerAccount = maxMinShare(slices.Collect(maps.Values(p.demand)), capacity)
 	return plan
 }
 
-// count takes in what came.
-func (p *CapacityEstimator) count(in time.Duration, came map[wire.Key]int, refused int) {
-	seconds := max(in, time.Millisecond).Seconds()
-	p.refusals += wantWeight * (float64(refused)/seconds - p.refusals)
-	for key := range came {
-		if _, ok := p.wants[key]; !ok {
-			p.wants[key] = 0
+// observeDemand updates the moving averages of demand and refusals.
+func (p *CapacityEstimator) observeDemand(period time.Duration, arrived map[wire.Key]int, refused int) {
+	seconds := max(period, time.Millisecond).Seconds()
+	p.refusals += demandWeight * (float64(refused)/seconds - p.refusals)
+	for key := range arrived {
+		if _, ok := p.demand[key]; !ok {
+			p.demand[key] = 0
 		}
 	}
-	for key, want := range p.wants {
-		want += wantWeight * (float64(came[key])/seconds - want)
-		if want < 0.01 {
-			delete(p.wants, key)
+	for key, demand := range p.demand {
+		demand += demandWeight * (float64(arrived[key])/seconds - demand)
+		if demand < 0.01 {
+			delete(p.demand, key)
 			continue
 		}
-		p.wants[key] = want
+		p.demand[key] = demand
 	}
 }
 
-// AdmittedFraction returns the part of the requests that are to be worked on that can be.
-func (p *CapacityEstimator) AdmittedFraction() float64 { return p.part }
+// AdmittedFraction returns the fraction of the demand that the last plan admitted.
+func (p *CapacityEstimator) AdmittedFraction() float64 { return p.admitted }
 
-// Rate returns how many requests a second can be worked on while none is refused.
+// Rate returns the number of requests per second that can be processed without refusals.
 func (p *CapacityEstimator) Rate() float64 { return p.rate }
 
-// Delay returns the lateness.
-func (p *CapacityEstimator) Delay() time.Duration { return p.late }
+// Delay returns the moving average of the processing delay.
+func (p *CapacityEstimator) Delay() time.Duration { return p.delay }
 
-// fill returns the level up to which asks add up to a total.
-func fill(asks []float64, total float64) float64 {
-	slices.Sort(asks)
-	for i, ask := range asks {
-		each := total / float64(len(asks)-i)
-		if ask >= each {
-			return each
+// maxMinShare returns the share at which all demands up to it add up to the total.
+func maxMinShare(demands []float64, total float64) float64 {
+	slices.Sort(demands)
+	for i, demand := range demands {
+		share := total / float64(len(demands)-i)
+		if demand >= share {
+			return share
 		}
-		total -= ask
+		total -= demand
 	}
-	return unbounded
+	return unlimited
 }
--- a/pkg/admit/part.go
+++ b/pkg/admit/part.go
@@ -3,66 +3,64 @@
 import "github.com/yarrowmast/yarrowmast/pkg/wire"
 
 const (
-	// evenUpTo is up to how many times the level an account is treated as
-	// one that has its share.
-	evenUpTo = 0.9
-	// overSlope is how fast an account's part falls beyond that.
-	overSlope = 2.0
-	// backloggedPart is the most for an account that asks for more than its
-	// share: it always has more, and takes what room it is left, so that the
-	// others find some.
-	backloggedPart = 0.6
-	// Others leave room to accounts within their share from leastPressure of
-	// these accounts' requests that find no place at once, and all of that room
-	// from fullPressure of them.
-	leastPressure = 0.03
-	fullPressure  = 0.13
-	// leastPart is what is left to an account far beyond its share, where
-	// places would else be idle.
-	leastPart = 0.25
+	// penaltyThreshold is the usage relative to the fair share from which an account is
+	// penalized.
+	penaltyThreshold = 0.9
+	// penaltySlope is how fast its target fraction falls above that.
+	penaltySlope = 2.0
+	// backloggedFraction is the target fraction under full pressure of an account whose demand
+	// exceeds its fair share. It would otherwise take every free slot.
+	backloggedFraction = 0.6
+	// minPressure is the fraction of delayed requests of accounts within their shares from
+	// which others leave slots to them, maxPressure the one at which backloggedFraction applies
+	// in full.
+	minPressure = 0.03
+	maxPressure = 0.13
+	// minTargetFraction is the least target fraction, so that slots are not left idle.
+	minTargetFraction = 0.25
 )
 
-// partFor is the part of its target that a request of the account may use:
-// the more the account had beyond its share, the less.
-func (c *Core) partFor(account wire.Key) float64 {
-	if account == 0 || c.weights != nil {
+// targetFraction returns the fraction of its target that a request of the account may use. It
+// falls with the account's usage above its fair share.
+func (c *Core) targetFraction(account wire.Key) float64 {
+	if account == 0 || c.weighted != nil {
 		return 1
 	}
-	most := 1.0
+	limit := 1.0
 	if c.accounts.backlogged(account, c.now) {
-		most -= (1 - backloggedPart) * c.pressure()
+		limit -= (1 - backloggedFraction) * c.pressure()
 	}
-	over := c.accounts.over(account, c.now)
-	if over <= evenUpTo {
-		return most
+	usage := c.accounts.usageRatio(account, c.now)
+	if usage <= penaltyThreshold {
+		return limit
 	}
-	return max(leastPart, most-overSlope*(over-evenUpTo))
+	return max(minTargetFraction, limit-penaltySlope*(usage-penaltyThreshold))
 }
 
-// wantsMore reports whether an account asks for more than its share, or has had it.
-func (c *Core) wantsMore(account wire.Key) bool {
-	return account != 0 && (c.accounts.backlogged(account, c.now) || c.accounts.over(account, c.now) > evenUpTo)
+// exceedsShare reports whether an account's demand or usage exceeds its fair share.
+func (c *Core) exceedsShare(account wire.Key) bool {
+	return account != 0 && (c.accounts.backlogged(account, c.now) || c.accounts.usageRatio(account, c.now) > penaltyThreshold)
 }
 
-// noteAsked notes whether a request of an account that asks for no more than its
-// share found a place at once.
-func (c *Core) noteAsked(account wire.Key, granted bool) {
+// recordAdmission records whether a request of an account within its fair share got a slot at
+// once.
+func (c *Core) recordAdmission(account wire.Key, granted bool) {
 	if account == 0 || c.accounts.backlogged(account, c.now) {
 		return
 	}
-	c.within.add(c.now, 1)
+	c.withinShare.add(c.now, 1)
 	if !granted {
-		c.waited.add(c.now, 1)
+		c.withinShareDelayed.add(c.now, 1)
 	}
 }
 
-// pressure is from 0, where accounts that ask for no more than their share find
-// places at once, to 1, where many of their requests do not.
+// pressure returns 0 if accounts within their fair shares get slots at once, up to 1 if many of
+// their requests do not.
 func (c *Core) pressure() float64 {
-	asked := c.within.get(c.now)
-	if asked < 1 {
+	total := c.withinShare.get(c.now)
+	if total < 1 {
 		return 0
 	}
-	part := c.waited.get(c.now) / asked
-	return min(1, max(0, (part-leastPressure)/(fullPressure-leastPressure)))
+	delayed := c.withinShareDelayed.get(c.now) / total
+	return min(1, max(0, (delayed-minPressure)/(maxPressure-minPressure)))
 }
--- a/pkg/admit/peer.go
+++ b/pkg/admit/peer.go
@@ -9,30 +9,30 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// reportSource is whose flows a report adds up: a router's, a zone's, or those of all
-// others.
+// reportSource identifies whose flows a report sums up: those of a router, of a zone, or of all
+// other routers.
 type reportSource struct {
 	scope wire.Scope
 	name  string
 }
 
-// usageReport is what a source last reported of accounts' flows.
+// usageReport is the last report of a source.
 type usageReport struct {
-	heard time.Duration
-	flows map[wire.Key]flow
+	receivedAt time.Duration
+	flows      map[wire.Key]flow
 }
 
-// DefaultReportTTL is when what was told counts no more: its requests have
-// most likely ended with their router, or cannot be seen from here.
+// DefaultReportTTL is the age at which a report expires: its router has most likely failed or
+// is unreachable.
 const DefaultReportTTL = time.Second
 
-// PeerGone says that a router has ended.
+// PeerGone reports that a router has left the fleet or failed.
 type PeerGone struct{ From string }
 
 func (e PeerGone) apply(c *Core) {
-	c.forgetFlows(reportSource{wire.ScopeOwn, e.From})
-	if c.weights != nil {
-		c.weights.forget(reportSource{wire.ScopeOwn, e.From}, c.now)
+	c.dropReport(reportSource{wire.ScopeOwn, e.From})
+	if c.weighted != nil {
+		c.weighted.dropSource(reportSource{wire.ScopeOwn, e.From}, c.now)
 	}
 	c.dropHolder(e.From)
 	c.dropTrials(e.From)
@@ -41,8 +41,7 @@
 	}
 }
 
-// retryAfterOwnerLoss has a request ask anew where its question went to an owner that
-// has left the fleet.
+// retryAfterOwnerLoss repeats the slot requests that were sent to an owner that is gone.
 func (c *Core) retryAfterOwnerLoss(r *request, owner string) {
 	before := len(r.asks)
 	r.asks = slices.DeleteFunc(r.asks, func(a *ask) bool { return a.owner == owner })
@@ -51,80 +50,79 @@
 	}
 }
 
-// PeerState is what another router tells of accounts and copies.
+// PeerState is another router's report of account flows and prefix copies.
 type PeerState struct {
 	From string
 	// Zone is the sender's zone.
 	Zone string
 	Msg  *wire.State
-	// TTL is when what it tells counts no more, 0 for the default.
+	// TTL is the age at which the report expires, 0 for DefaultReportTTL.
 	TTL time.Duration
 }
 
 func (e PeerState) apply(c *Core) {
-	c.learnCopies(e.Zone, e.Msg.Copies)
+	c.applyCopies(e.Zone, e.Msg.Copies)
 	if e.Msg.Scope == wire.ScopeNone {
 		return
 	}
-	from := sourceOf(e.Msg.Scope, e.From, e.Zone)
-	c.silentAfter = max(DefaultReportTTL, e.TTL)
-	c.forgetFlows(from)
-	t := &usageReport{heard: c.now, flows: make(map[wire.Key]flow, len(e.Msg.Accounts))}
+	source := sourceOf(e.Msg.Scope, e.From, e.Zone)
+	c.reportTTL = max(DefaultReportTTL, e.TTL)
+	c.dropReport(source)
+	report := &usageReport{receivedAt: c.now, flows: make(map[wire.Key]flow, len(e.Msg.Accounts))}
 	for _, f := range e.Msg.Accounts {
-		t.flows[f.Account] = flow{asked: float64(f.Asked), begun: float64(f.Begun)}
+		report.flows[f.Account] = flow{demand: float64(f.Asked), started: float64(f.Begun)}
 	}
-	c.reports[from] = t
-	c.accounts.count(t.flows, 1)
+	c.reports[source] = report
+	c.accounts.addPeerFlows(report.flows, 1)
 }
 
-// mostPassedOn bounds how many copies told by others are passed on at once, of
-// the own zone and of other zones each: 256 take 4 kB.
-const mostPassedOn = 256
+// maxRelayedCopies bounds the copies of other routers that are relayed at once, separately for
+// this zone and other zones.
+const maxRelayedCopies = 256
 
-// learnCopies notes where other routers had prompts read, to be passed on if this
-// router is a relay.
-func (c *Core) learnCopies(zone string, copies []wire.Copy) {
-	passedOn := &c.farCopies
+// applyCopies records the copies made by other routers, and queues them for relaying.
+func (c *Core) applyCopies(zone string, copies []wire.Copy) {
+	relayed := &c.remoteCopies
 	if zone == c.opt.self.Zone {
-		passedOn = &c.nearCopies
+		relayed = &c.zoneCopies
 	}
 	for _, x := range copies {
 		if s, ok := c.servers[x.Server]; ok {
-			s.copies.note(x.Prefix, c.now)
+			s.prefixes.add(x.Prefix, c.now)
 		}
-		if len(*passedOn) < mostPassedOn {
-			*passedOn = append(*passedOn, x)
+		if len(*relayed) < maxRelayedCopies {
+			*relayed = append(*relayed, x)
 		}
 	}
 }
 
-func (c *Core) forgetFlows(from reportSource) {
-	if t, ok := c.reports[from]; ok {
+func (c *Core) dropReport(from reportSource) {
+	if report, ok := c.reports[from]; ok {
 		delete(c.reports, from)
-		c.accounts.count(t.flows, -1)
+		c.accounts.addPeerFlows(report.flows, -1)
 	}
 }
 
-// sweepEvery is how often is looked for what was told long ago.
-const sweepEvery = 200 * time.Millisecond
+// sweepInterval is the interval of removing expired state.
+const sweepInterval = 200 * time.Millisecond
 
-func (c *Core) dropSilent() {
-	if c.now-c.swept < sweepEvery {
+func (c *Core) sweep() {
+	if c.now-c.sweptAt < sweepInterval {
 		return
 	}
-	c.swept = c.now
+	c.sweptAt = c.now
 	c.suspects.Expire(c.now)
 	c.dropTrials("")
-	for from, t := range c.reports {
-		if c.now-t.heard >= c.silentAfter {
-			c.forgetFlows(from)
-			if c.weights != nil {
-				c.weights.forget(from, c.now)
+	for source, report := range c.reports {
+		if c.now-report.receivedAt >= c.reportTTL {
+			c.dropReport(source)
+			if c.weighted != nil {
+				c.weighted.dropSource(source, c.now)
 			}
 		}
 	}
-	c.held = slices.DeleteFunc(c.held, func(s *server) bool {
-		s.owned.dropLost(c.now)
+	c.ownedServers = slices.DeleteFunc(c.ownedServers, func(s *server) bool {
+		s.owned.expireEntries(c.now)
 		if s.owner == c.opt.self.Address || !s.owned.idle() {
 			return false
 		}
@@ -133,39 +131,39 @@
 	})
 }
 
-// Snapshot is what a router tells others, made once for all of them.
+// Snapshot is the state that a router reports, collected once for all receivers.
 type Snapshot struct {
 	now       time.Duration
 	core      *Core
 	own, zone map[wire.Key]flow
-	rest      map[wire.Key]flow
-	// copies are this router's own since the last telling, near those that others
-	// of its zone told of since then, far those of other zones.
-	copies, near, far []wire.Copy
+	others    map[wire.Key]flow
+	// copies are those of this router since the last snapshot, zoneCopies those reported by
+	// routers of its zone, remoteCopies those of other zones.
+	copies, zoneCopies, remoteCopies []wire.Copy
 }
 
-// Snapshot collects what this router tells the others now.
+// Snapshot collects the state to report, and clears the queued copies.
 func (c *Core) Snapshot(now time.Duration) *Snapshot {
-	t := &Snapshot{now: now, core: c, own: c.accounts.own(now), copies: c.copies, near: c.nearCopies, far: c.farCopies}
-	c.copies, c.nearCopies, c.farCopies = nil, nil, nil
-	t.zone, t.rest = maps.Clone(t.own), map[wire.Key]flow{}
-	for from, x := range c.reports {
+	t := &Snapshot{now: now, core: c, own: c.accounts.ownFlows(now), copies: c.newCopies, zoneCopies: c.zoneCopies, remoteCopies: c.remoteCopies}
+	c.newCopies, c.zoneCopies, c.remoteCopies = nil, nil, nil
+	t.zone, t.others = maps.Clone(t.own), map[wire.Key]flow{}
+	for source, report := range c.reports {
 		switch {
-		case from.scope == wire.ScopeOwn:
-			addFlows(t.zone, x.flows, 1)
-		case from.scope == wire.ScopeZone && from.name != c.opt.self.Zone:
-			addFlows(t.rest, x.flows, 1)
+		case source.scope == wire.ScopeOwn:
+			addFlows(t.zone, report.flows, 1)
+		case source.scope == wire.ScopeZone && source.name != c.opt.self.Zone:
+			addFlows(t.others, report.flows, 1)
 		}
 	}
-	addFlows(t.rest, t.zone, 1)
+	addFlows(t.others, t.zone, 1)
 	return t
 }
 
 func addFlows(sum, flows map[wire.Key]flow, sign float64) {
 	for key, f := range flows {
 		s := sum[key]
-		s.asked += sign * f.asked
-		s.begun += sign * f.begun
+		s.demand += sign * f.demand
+		s.started += sign * f.started
 		sum[key] = s
 	}
 }
@@ -174,56 +172,57 @@
 func (t *Snapshot) Flows(scope wire.Scope, receiver string) []wire.AccountFlow {
 	switch scope {
 	case wire.ScopeOwn:
-		return largest(t.own)
+		return largestFlows(t.own)
 	case wire.ScopeZone:
-		return largest(t.zone)
+		return largestFlows(t.zone)
 	case wire.ScopeRest:
-		rest := maps.Clone(t.rest)
-		if x, ok := t.core.reports[reportSource{wire.ScopeOwn, receiver}]; ok {
-			addFlows(rest, x.flows, -1)
+		others := maps.Clone(t.others)
+		if report, ok := t.core.reports[reportSource{wire.ScopeOwn, receiver}]; ok {
+			addFlows(others, report.flows, -1)
 		}
-		return largest(rest)
+		return largestFlows(others)
 	default:
 		return nil
 	}
 }
 
-// Copies returns the copies that this router's own requests made.
+// Copies returns the copies made by this router.
 func (t *Snapshot) Copies() []wire.Copy { return t.copies }
 
-// ZoneCopies returns those that its zone made, for relays of other zones.
-func (t *Snapshot) ZoneCopies() []wire.Copy { return slices.Concat(t.copies, t.near) }
+// ZoneCopies returns the copies made in this zone, for relays of other zones.
+func (t *Snapshot) ZoneCopies() []wire.Copy { return slices.Concat(t.copies, t.zoneCopies) }
 
-// AllCopies returns those that any router made, for the routers of its zone.
-func (t *Snapshot) AllCopies() []wire.Copy { return slices.Concat(t.copies, t.near, t.far) }
+// AllCopies returns the copies made by all routers, for routers of this zone.
+func (t *Snapshot) AllCopies() []wire.Copy {
+	return slices.Concat(t.copies, t.zoneCopies, t.remoteCopies)
+}
 
-// mostFlows bounds how many accounts are told of; the rest is told as a sum,
-// under account 0.
-const mostFlows = 64
+// maxFlows bounds the accounts in a report. The others are summed up under account 0.
+const maxFlows = 64
 
-// largest returns the largest flows and the sum of the rest.
-func largest(flows map[wire.Key]flow) []wire.AccountFlow {
+// largestFlows returns the largest flows and the sum of the others.
+func largestFlows(flows map[wire.Key]flow) []wire.AccountFlow {
 	list := make([]wire.AccountFlow, 0, len(flows))
 	var rest flow
 	for key, f := range flows {
 		switch {
 		case key == 0:
-			rest.asked += f.asked
-			rest.begun += f.begun
-		case f.asked >= 1 || f.begun >= 1:
-			list = append(list, wire.AccountFlow{Account: key, Asked: rounded(f.asked), Begun: rounded(f.begun)})
+			rest.demand += f.demand
+			rest.started += f.started
+		case f.demand >= 1 || f.started >= 1:
+			list = append(list, wire.AccountFlow{Account: key, Asked: rounded(f.demand), Begun: rounded(f.started)})
 		}
 	}
 	slices.SortFunc(list, func(a, b wire.AccountFlow) int {
 		return cmp.Or(cmp.Compare(b.Asked, a.Asked), cmp.Compare(a.Account, b.Account))
 	})
-	for _, f := range list[min(mostFlows, len(list)):] {
-		rest.asked += float64(f.Asked)
-		rest.begun += float64(f.Begun)
+	for _, f := range list[min(maxFlows, len(list)):] {
+		rest.demand += float64(f.Asked)
+		rest.started += float64(f.Begun)
 	}
-	list = list[:min(mostFlows, len(list))]
-	if rest.asked >= 1 {
-		list = append(list, wire.AccountFlow{Asked: rounded(rest.asked), Begun: rounded(rest.begun)})
+	list = list[:min(maxFlows, len(list))]
+	if rest.demand >= 1 {
+		list = append(list, wire.AccountFlow{Asked: rounded(rest.demand), Begun: rounded(rest.started)})
 	}
 	return list
 }
--- a/pkg/admit/place.go
+++ b/pkg/admit/place.go
@@ -3,104 +3,96 @@
 import "time"
 
 const (
-	// targetPart of what is left of its target is what a request's first
-	// event may be predicted to take where it is given a place; the rest is
-	// for what was not foreseen.
-	targetPart = 0.8
-	// aheadPart of the shortest target of a service is what may be ahead of any
-	// of its requests: more would leave no place to those with that target, less
-	// leaves engines idle (worth 0.681 at 0.6 and 0.672 at 0.4, mean of five loaded
-	// days at 8 routers).
-	aheadPart = 0.6
-	// freshFor is for how long after its start an owner gives only one place at a
-	// time at each engine: until all routers have heard of each other, several
-	// take themselves for its owner, and what earlier ones sent may still run.
-	// heardFor is how long it takes from the first that is heard until all are,
-	// with a margin: eight routers took 10 ms, each lost packet adds 100 ms. A
-	// second without any other means that this one is alone.
-	freshFor = time.Second
-	heardFor = 250 * time.Millisecond
-	// behindPart of its target is what a long prompt, whose own reading takes
-	// longer than that, may wait behind others.
-	behindPart = 0.25
-	// queueAtService is how many requests for each slot a plain service may
-	// have, since it has a queue of its own: who waits there for one and a half times
-	// as long as a request takes is answered in time where the target is five times
-	// that, and who is refused comes back late.
-	queueAtService = 2.5
-	// spillPart of what it may use otherwise is left to a request that goes
-	// where its shared parts must be read again: only where one backend server
-	// is much less busy than another is that worth its while.
-	spillPart = 0.5
-	// slotsBeside is how much more of the slots than of its target an account
-	// beyond its share may use.
-	slotsBeside = 0.25
+	// targetMargin is the fraction of the remaining target within which the first event must be
+	// predicted. The rest absorbs prediction errors.
+	targetMargin = 0.8
+	// aheadFraction of the shortest target of a service bounds the reading time queued ahead of
+	// any request. A higher value leaves no slots to requests with short targets, a lower one
+	// leaves engines idle.
+	aheadFraction = 0.6
+	// Within startupPeriod after its start an owner grants only one slot at a time at each
+	// engine: routers that have not discovered each other may all act as its owner, and
+	// requests of earlier processes may still run. The period ends discoveryPeriod after the
+	// first other router appears.
+	startupPeriod   = time.Second
+	discoveryPeriod = 250 * time.Millisecond
+	// longPromptFraction of its target is the longest time that a prompt may wait behind others
+	// if reading it takes longer than that.
+	longPromptFraction = 0.25
+	// queuedPerSlot is the number of requests per slot that a plain service may have, since it
+	// queues requests itself.
+	queuedPerSlot = 2.5
+	// spillFraction of the usual limits applies to a request at a backend server that has to
+	// read its shared prefix again. This pays off only if that server is much less loaded.
+	spillFraction = 0.5
+	// extraSlotFraction is added to the fraction of slots that an account above its fair share
+	// may use.
+	extraSlotFraction = 0.25
 )
 
-// fresh reports whether this router has started so lately that it may not have
-// heard of all others.
-func (c *Core) fresh() bool {
-	if c.now-c.started >= freshFor {
+// isStartingUp reports whether this router may not have discovered all others yet.
+func (c *Core) isStartingUp() bool {
+	if c.now-c.startedAt >= startupPeriod {
 		return false
 	}
-	return c.joined == 0 || c.now-c.joined < heardFor
+	return c.firstPeerAt == 0 || c.now-c.firstPeerAt < discoveryPeriod
 }
 
-// hasPlace reports whether a request can be started at a backend server now.
-func (c *Core) hasPlace(sv *service, s *server, a *asking, toRead int64) bool {
-	o := c.ownedOf(s)
-	if s.isWarming(c.now) && !c.mayGiveWarming(s) {
+// canAdmit reports whether a request can start at a backend server now.
+func (c *Core) canAdmit(svc *service, s *server, a *slotRequest, toRead int64) bool {
+	o := c.ownerStateOf(s)
+	if s.isWarming(c.now) && !c.mayGrantWarming(s) {
 		return false
 	}
-	if o.isApart(c.now) {
+	if o.isExclusive(c.now) {
 		return false
 	}
-	if c.weights != nil {
-		return c.hasSlot(s)
+	if c.weighted != nil {
+		return c.hasFreeSlot(s)
 	}
-	if !sv.engine {
-		return float64(o.running) < float64(s.Slots)*queueAtService
+	if !svc.engine {
+		return float64(o.running) < float64(s.Slots)*queuedPerSlot
 	}
 	if a.Begun {
 		return o.running < s.Slots
 	}
-	part := c.partFor(a.Account)
+	fraction := c.targetFraction(a.Account)
 	if a.Spill {
-		part *= spillPart
+		fraction *= spillFraction
 	}
-	if float64(o.running) >= float64(s.Slots)*min(1, part+slotsBeside) {
+	if float64(o.running) >= float64(s.Slots)*min(1, fraction+extraSlotFraction) {
 		return false
 	}
-	if c.fresh() {
+	if c.isStartingUp() {
 		return o.unread == 0
 	}
-	if o.unread == 0 && (!a.Spill || a.Fetch) && (part == 1 || o.running < s.Slots/2) {
-		// Waiting would not help, and only what is sent tells how fast it is.
+	if o.unread == 0 && (!a.Spill || a.Fetch) && (fraction == 1 || o.running < s.Slots/2) {
+		// Waiting does not help here, and only a new request updates the latency estimate.
 		return true
 	}
-	return c.beginsInTime(sv, s, a, toRead, part) || c.isLongAndNext(sv, s, a, toRead, part)
+	return c.meetsTarget(svc, s, a, toRead, fraction) || c.admitsLongPrompt(svc, s, a, toRead, fraction)
 }
 
-// beginsInTime reports whether a request's first event is predicted to come
-// within a part of what is left of its target.
-func (c *Core) beginsInTime(sv *service, s *server, a *asking, toRead int64, part float64) bool {
+// meetsTarget reports whether the first event of a request is predicted within a fraction of
+// its remaining target.
+func (c *Core) meetsTarget(svc *service, s *server, a *slotRequest, toRead int64, fraction float64) bool {
 	left := (a.due - c.now).Seconds()
 	ahead := s.owned.unread
-	if c.wantsMore(a.Account) {
-		// What it leaves behind counts too, so that others find a place at once.
+	if c.exceedsShare(a.Account) {
+		// Count the load that this request adds, so that other accounts find a slot at once.
 		ahead += toRead
 	}
-	if s.health.slowness()*sv.latency.slope()*float64(ahead) > aheadPart*sv.shortest.get(c.now).Seconds() {
+	if s.health.slowness()*svc.latency.slope()*float64(ahead) > aheadFraction*svc.shortestTarget.get(c.now).Seconds() {
 		return false
 	}
-	expected := s.health.slowness() * sv.latency.predict(s.owned.unread+toRead).Seconds()
-	return expected <= targetPart*part*left
+	expected := s.health.slowness() * svc.latency.predict(s.owned.unread+toRead).Seconds()
+	return expected <= targetMargin*fraction*left
 }
 
-// isLongAndNext reports whether a prompt takes so long to read that it cannot
-// be in time anywhere, but waits for little else here.
-func (c *Core) isLongAndNext(sv *service, s *server, a *asking, toRead int64, part float64) bool {
-	most := behindPart * (time.Duration(a.TargetMillis) * time.Millisecond).Seconds()
-	behind := s.health.slowness() * sv.latency.slope() * float64(s.owned.unread)
-	return behind <= part*most && sv.latency.slope()*float64(toRead) > most
+// admitsLongPrompt reports whether a prompt takes too long to read to meet its target anywhere,
+// but waits for little else at this backend server.
+func (c *Core) admitsLongPrompt(svc *service, s *server, a *slotRequest, toRead int64, fraction float64) bool {
+	limit := longPromptFraction * (time.Duration(a.TargetMillis) * time.Millisecond).Seconds()
+	behind := s.health.slowness() * svc.latency.slope() * float64(s.owned.unread)
+	return behind <= fraction*limit && svc.latency.slope()*float64(toRead) > limit
 }
--- a/pkg/admit/recent.go
+++ b/pkg/admit/recent.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// recent remembers keys for a while.
-type recent struct {
-	at map[uint64]time.Duration
+// recentSet is a set of keys that expire.
+type recentSet struct {
+	addedAt map[uint64]time.Duration
 }
 
 const (
-	// recentFor is how long a prompt's beginning is taken to be kept by a
-	// backend server after it was last sent there.
-	recentFor = 20 * time.Second
-	// recentMost bounds what is remembered for each backend server.
-	recentMost = 4096
+	// prefixTTL is how long a backend server is assumed to cache a prefix after it last
+	// received it.
+	prefixTTL = 20 * time.Second
+	// maxPrefixes bounds the prefixes remembered per backend server.
+	maxPrefixes = 4096
 )
 
-// note remembers a key.
-func (r *recent) note(key uint64, now time.Duration) {
-	if r.at == nil {
-		r.at = map[uint64]time.Duration{}
+// add adds a key, or renews it.
+func (r *recentSet) add(key uint64, now time.Duration) {
+	if r.addedAt == nil {
+		r.addedAt = map[uint64]time.Duration{}
 	}
-	if len(r.at) >= recentMost {
-		r.drop(now)
+	if len(r.addedAt) >= maxPrefixes {
+		r.evict(now)
 	}
-	r.at[key] = now
+	r.addedAt[key] = now
 }
 
-// drop forgets what is old, and everything if nothing is.
-func (r *recent) drop(now time.Duration) {
-	for key, at := range r.at {
-		if now-at > recentFor {
-			delete(r.at, key)
+// evict removes expired keys, and all keys if that is not enough.
+func (r *recentSet) evict(now time.Duration) {
+	for key, at := range r.addedAt {
+		if now-at > prefixTTL {
+			delete(r.addedAt, key)
 		}
 	}
-	if len(r.at) >= recentMost {
-		clear(r.at)
+	if len(r.addedAt) >= maxPrefixes {
+		clear(r.addedAt)
 	}
 }
 
-// has reports whether a key was noted lately.
-func (r *recent) has(key uint64, now time.Duration) bool {
-	at, ok := r.at[key]
-	return ok && now-at <= recentFor
+// has reports whether a key was added within prefixTTL.
+func (r *recentSet) has(key uint64, now time.Duration) bool {
+	at, ok := r.addedAt[key]
+	return ok && now-at <= prefixTTL
 }
--- a/pkg/admit/request.go
+++ b/pkg/admit/request.go
@@ -10,75 +10,76 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// Request is a request that waits for its place.
+// Request is a request to be admitted.
 type Request struct {
 	// ID is unique at this router.
 	ID uint64
-	// Service is the service or model.
+	// Service is the name of the service or model.
 	Service string
-	// Account is whose request it is, "" if nobody's.
+	// Account is the name of the client account, "" if there is none.
 	Account string
-	// AccountRank and Rank order waiting requests: lower goes first.
+	// AccountRank and Rank order waiting requests. Lower values go first.
 	AccountRank, Rank int
-	// Prefix is a hash of the prompt's shared parts, 0 if it has none.
+	// Prefix is a hash of the shared prompt prefix, 0 if there is none.
 	Prefix uint64
-	// Prompt, Shared and Output are sizes in tokens, 0 if not stated.
+	// Prompt, Shared (the shared prefix) and Output are sizes in tokens, 0 if unknown.
 	Prompt, Shared, Output int64
-	// Target is the time within which the first event is worth most.
+	// Target is the desired time to the first event of the response.
 	Target time.Duration
-	// MaxWait is how long it may wait; 0 means until its deadline.
+	// MaxWait bounds the wait for a slot. 0 means until Deadline.
 	MaxWait time.Duration
-	// Deadline is when it is worth nothing.
+	// Deadline is when the request expires.
 	Deadline time.Duration
-	// Retry says that it was sent to a backend server before.
+	// Retry says that an earlier attempt was sent to a backend server.
 	Retry bool
-	// MayHaveRun says that it may have run at one of them: it cannot be refused as
-	// not run any more, and waits until its deadline for any place.
+	// MayHaveRun says that an earlier attempt may have run. The request can no longer be
+	// refused as not run, so that it waits for a slot until its deadline.
 	MayHaveRun bool
-	// Avoid lists backend servers that failed it.
+	// Avoid lists backend servers at which it failed.
 	Avoid []string
-	// Resuming says that its answer has begun.
+	// Resuming says that an earlier attempt began to respond.
 	Resuming bool
-	// Priority orders the requests of an account where accounts are served by weights, from
-	// 0 to 9; the higher goes first.
+	// Priority orders the requests of one account, from 0 to 9, if accounts are scheduled by
+	// weight. Higher values go first.
 	Priority int
-	// Digest identifies it, whichever try it is; 0 if nobody can.
+	// Digest identifies the request across attempts, 0 if unknown.
 	Digest suspect.Digest
 }
 
-// request is one that this router holds.
+// request is a request that this router holds.
 type request struct {
 	Request
-	account wire.Key
-	arrived time.Duration
-	// cost is what it is counted as for its account, in tokens.
+	account   wire.Key
+	arrivedAt time.Duration
+	// cost is what the request is charged to its account, in tokens.
 	cost float64
-	// asks are the owners that were asked for a place.
+	// asks are the slot requests sent to owners.
 	asks []*ask
-	// at is the backend server it was sent to, nil while it waits.
-	at *server
-	// started is when it was sent.
-	started time.Duration
-	// unread is its tokens to be read; 0 once its first event came.
+	// server is the backend server to which it was sent, nil while it waits.
+	server *server
+	// startedAt is when it was sent.
+	startedAt time.Duration
+	// unread is the number of prompt tokens still to be read, 0 after the first event.
 	unread int64
-	// turn orders it among its account's requests, where accounts are served by weights.
-	turn time.Duration
-	// charged is what it is counted as for its account's weight, in tokens.
+	// position orders it among the requests of its account, if accounts are scheduled by
+	// weight.
+	position time.Duration
+	// charged is what has been charged to its account so far, in tokens.
 	charged int64
 }
 
-// ask is a question to the owner of a backend server.
+// ask is a slot request to the owner of a backend server.
 type ask struct {
 	server *server
 	owner  string
-	at     time.Duration
-	why    string
-	// source keeps the prompt's shared parts, nil if they are kept at server or
-	// nowhere.
+	sentAt time.Duration
+	reason string
+	// source is the backend server from which to copy the shared prefix, nil if no copy is
+	// needed or possible.
 	source *server
 	state  askState
-	// caution is that with which the place was asked for.
-	caution caution
+	// isolation is the level required when the slot was requested.
+	isolation isolation
 }
 
 type askState uint8
@@ -90,38 +91,38 @@
 	askUnanswered
 )
 
-// outputCost is how many tokens read a token made counts as.
+// outputCost is the cost of an output token relative to a prompt token.
 const outputCost = 2
 
-// Arrive is a new request, or a new attempt of one.
+// Arrive adds a request, or a new attempt of one.
 type Arrive struct{ Request }
 
-// Cancel takes back a request that waits, or one that was started and will
-// not be sent.
+// Cancel withdraws a request that waits, or one that was started but will not be sent.
 type Cancel struct{ ID uint64 }
 
-// FirstEvent says that the first event of an answer came.
+// FirstEvent reports the first event of a response.
 type FirstEvent struct{ ID uint64 }
 
-// AttemptEnd says that an attempt ended.
+// AttemptEnd reports the end of an attempt.
 type AttemptEnd struct {
 	ID     uint64
 	Result Result
-	// Digest identifies the request, 0 if nobody can.
+	// Digest identifies the request across attempts, 0 if unknown.
 	Digest suspect.Digest
-	// Disconnected says that the backend server broke off while the request was under way there.
+	// Disconnected says that the backend server broke the connection while the request was in
+	// flight.
 	Disconnected bool
-	// Completed says that the request has run to its end.
+	// Completed says that the request completed.
 	Completed bool
-	// Tokens is what it has used.
+	// Tokens is the number of tokens used.
 	Tokens int64
 }
 
-// Refusals. None of the requests has run.
+// Refusals of requests that have not run.
 var (
 	errNoServer = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "no-backend",
 		"no backend server of the service takes requests")
-	errClosed = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "zone-closed",
+	errZoneClosed = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "zone-closed",
 		"operators have closed the availability zones of the service's backend servers; come back as told")
 	errBusy = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "busy",
 		"no backend server could answer in time; come back as told")
@@ -130,19 +131,19 @@
 )
 
 func (e Arrive) apply(c *Core) {
-	r := &request{Request: e.Request, arrived: c.now}
+	r := &request{Request: e.Request, arrivedAt: c.now}
 	r.cost = Cost(r.Prompt, r.Output)
 	if r.Account != "" {
 		r.account = wire.KeyOf(r.Account)
 		if !r.Retry {
-			c.accounts.get(r.account).ask(c.now, r.cost)
+			c.accounts.get(r.account).addDemand(c.now, r.cost)
 		}
 	}
 	c.requests[r.ID] = r
-	if c.weights != nil {
-		if err := c.weights.enqueue(r, c.now); err != nil {
+	if c.weighted != nil {
+		if err := c.weighted.enqueue(r, c.now); err != nil {
 			delete(c.requests, r.ID)
-			c.act(Refuse{ID: r.ID, Err: err})
+			c.emit(Refuse{ID: r.ID, Err: err})
 			return
 		}
 	}
@@ -155,130 +156,130 @@
 	if !ok {
 		return
 	}
-	if r.at == nil {
-		c.forget(r)
+	if r.server == nil {
+		c.drop(r)
 		return
 	}
 	c.endTrial(r, false)
-	c.finishUse(r, 0)
-	c.end(r, Unknown)
+	c.chargeUsage(r, 0)
+	c.release(r, Unknown)
 }
 
 func (e FirstEvent) apply(c *Core) {
 	r, ok := c.requests[e.ID]
-	if !ok || r.at == nil || r.unread == 0 {
+	if !ok || r.server == nil || r.unread == 0 {
 		return
 	}
 	r.unread = 0
-	c.lives(r.at, r.started)
+	c.confirmAlive(r.server, r.startedAt)
 	c.endTrial(r, true)
-	c.note(r, &wire.Note{Kind: wire.NoteFirst, Millis: (c.now - r.started).Milliseconds()})
+	c.notifyOwner(r, &wire.Note{Kind: wire.NoteFirst, Millis: (c.now - r.startedAt).Milliseconds()})
 }
 
 func (e AttemptEnd) apply(c *Core) {
 	r, ok := c.requests[e.ID]
-	if !ok || r.at == nil {
+	if !ok || r.server == nil {
 		return
 	}
-	r.at.health.ended(c.now, e.Result)
-	c.learnOfEnd(r, e)
+	r.server.health.noteEnded(c.now, e.Result)
+	c.recordOutcome(r, e)
 	c.endTrial(r, false)
 	if r.account != 0 && (e.Result == Refused || e.Result == Unreachable) {
-		c.accounts.get(r.account).begun.add(c.now, -r.cost)
+		c.accounts.get(r.account).started.add(c.now, -r.cost)
 	}
-	c.finishUse(r, e.Tokens)
-	c.end(r, e.Result)
+	c.chargeUsage(r, e.Tokens)
+	c.release(r, e.Result)
 }
 
-// finishUse counts what a request that ran has used.
-func (c *Core) finishUse(r *request, tokens int64) {
-	if c.weights != nil {
-		c.weights.finish(r, tokens, c.now)
+// chargeUsage corrects the account's charge to the tokens that the request used.
+func (c *Core) chargeUsage(r *request, tokens int64) {
+	if c.weighted != nil {
+		c.weighted.recordEnd(r, tokens, c.now)
 	}
 }
 
-// learnOfEnd takes in what an attempt's end says of the request and of whether its backend
-// server lives.
-func (c *Core) learnOfEnd(r *request, e AttemptEnd) {
+// recordOutcome updates the crash records of the request and the liveness of its backend
+// server.
+func (c *Core) recordOutcome(r *request, e AttemptEnd) {
 	switch {
 	case e.Disconnected:
-		c.noteEnd(r.at, suspect.End{Digest: e.Digest, At: c.now, Sent: r.started, Unanswered: r.unread > 0})
+		c.recordCrash(r.server, suspect.End{Digest: e.Digest, At: c.now, Sent: r.startedAt, Unanswered: r.unread > 0})
 	case e.Result == Answered || e.Result == Failed || e.Result == Refused:
-		c.lives(r.at, r.started)
+		c.confirmAlive(r.server, r.startedAt)
 	case e.Result == Stalled || e.Result == Unknown:
-		c.noteSilence(r, e.Digest)
+		c.recordStall(r, e.Digest)
 	}
 	if e.Completed {
-		c.ranWhole(e.Digest)
+		c.markCompleted(e.Digest)
 	}
 }
 
-// end gives a request's place back.
-func (c *Core) end(r *request, result Result) {
+// release frees the slot of a request.
+func (c *Core) release(r *request, result Result) {
 	delete(c.requests, r.ID)
-	delete(r.at.own, r.ID)
-	c.note(r, &wire.Note{Kind: wire.NoteEnded, Result: uint8(result)})
+	delete(r.server.requests, r.ID)
+	c.notifyOwner(r, &wire.Note{Kind: wire.NoteEnded, Result: uint8(result)})
 }
 
-// note tells the owner of a request's backend server what became of it.
-func (c *Core) note(r *request, n *wire.Note) {
-	n.ID, n.Server = r.ID, r.at.key
-	c.send(r.at.owner, n)
+// notifyOwner sends a state change of a request to the owner of its backend server.
+func (c *Core) notifyOwner(r *request, n *wire.Note) {
+	n.ID, n.Server = r.ID, r.server.key
+	c.send(r.server.owner, n)
 }
 
-// start sends a request to a backend server.
-func (c *Core) start(r *request, s *server, a Start) {
-	r.at = s
-	r.started = c.now
-	s.own[r.ID] = r
-	c.unwait(r)
-	c.withdraw(r, s)
+// startRequest sends a request to a backend server.
+func (c *Core) startRequest(r *request, s *server, a Start) {
+	r.server = s
+	r.startedAt = c.now
+	s.requests[r.ID] = r
+	c.removeWaiting(r)
+	c.cancelAsks(r, s)
 	if r.account != 0 {
-		c.accounts.get(r.account).begun.add(c.now, r.cost)
+		c.accounts.get(r.account).started.add(c.now, r.cost)
 	}
-	if c.weights != nil {
-		c.weights.leave(r, c.now)
-		c.weights.begin(r, c.now)
+	if c.weighted != nil {
+		c.weighted.dequeue(r, c.now)
+		c.weighted.recordStart(r, c.now)
 	}
 	c.beginTrial(r)
-	s.health.started(c.now)
-	a.ID, a.Backend, a.Waited = r.ID, s.Backend, c.now-r.arrived
-	c.act(a)
+	s.health.noteStarted(c.now)
+	a.ID, a.Backend, a.Waited = r.ID, s.Backend, c.now-r.arrivedAt
+	c.emit(a)
 }
 
-// withdraw takes back the questions to other owners.
-func (c *Core) withdraw(r *request, chosen *server) {
-	for _, q := range r.asks {
-		if q.server != chosen && q.waits() {
-			c.send(q.owner, &wire.Note{ID: r.ID, Server: q.server.key, Kind: wire.NoteCancel})
+// cancelAsks withdraws the open slot requests at other backend servers.
+func (c *Core) cancelAsks(r *request, chosen *server) {
+	for _, a := range r.asks {
+		if a.server != chosen && a.isOpen() {
+			c.send(a.owner, &wire.Note{ID: r.ID, Server: a.server.key, Kind: wire.NoteCancel})
 		}
 	}
 }
 
-// waits reports whether the owner that was asked may still give the place.
-func (a *ask) waits() bool {
+// isOpen reports whether the owner may still grant the slot.
+func (a *ask) isOpen() bool {
 	return a.state == askQueued || a.state == askSent
 }
 
-func (c *Core) unwait(r *request) {
+func (c *Core) removeWaiting(r *request) {
 	c.waiting = slices.DeleteFunc(c.waiting, func(w *request) bool { return w == r })
 }
 
-// forget drops a request that waits.
-func (c *Core) forget(r *request) {
+// drop removes a waiting request.
+func (c *Core) drop(r *request) {
 	delete(c.requests, r.ID)
-	c.unwait(r)
-	c.withdraw(r, nil)
-	if c.weights != nil {
-		c.weights.leave(r, c.now)
+	c.removeWaiting(r)
+	c.cancelAsks(r, nil)
+	if c.weighted != nil {
+		c.weighted.dequeue(r, c.now)
 	}
 }
 
 func (c *Core) refuse(r *request, err *verdict.Error) {
-	c.forget(r)
-	a := Refuse{ID: r.ID, Err: err, Waited: c.now - r.arrived}
-	if err.Code == codeEnds || err.Code == codeTwin {
+	c.drop(r)
+	a := Refuse{ID: r.ID, Err: err, Waited: c.now - r.arrivedAt}
+	if err.Code == codeCrashes || err.Code == codeOnTrial {
 		a.Crashes = c.suspects.Standing(c.now, r.Digest).Ends
 	}
-	c.act(a)
+	c.emit(a)
 }
--- a/pkg/admit/seek.go
+++ b/pkg/admit/seek.go
@@ -10,71 +10,68 @@
 )
 
 const (
-	// replyWithin is how long an owner may take to reply before the holder admits
-	// the request on its own estimate: longer than two ways there and back between
+	// replyTimeout bounds the wait for an owner's reply. It allows for two round trips between
 	// regions that are 8 ms apart.
-	replyWithin = 40 * time.Millisecond
-	// waysHeard is how many times this router's own lateness is added to that, and
-	// to the time that a request waits for an answer: for the answer itself, and for
-	// what its lateness changes until it is measured again.
-	waysHeard = 2
-	// placeFor is for how long a router may stand still and use a place that it was given
-	// meanwhile: an owner gives away what it heard nothing of for three seconds, and sooner
-	// what its holder does not list among its requests. wakeFor is for how long after that
-	// what it hears may have been sent meanwhile.
-	placeFor = time.Second
-	wakeFor  = 200 * time.Millisecond
-	// unresponsiveFor is how long such an owner is not asked, unless it is heard.
-	unresponsiveFor = 500 * time.Millisecond
-	// spillAfter is the part of its patience after which a request may go
-	// where its shared parts must be read again.
-	spillAfter = 0.7
-	// smallShared is the part of a prompt up to which reading its shared
-	// parts again matters little.
-	smallShared = 0.25
-	// mostAsks bounds how many owners are asked for one request.
-	mostAsks = 4
-	// busyFor is how long a backend server without a place is passed over
-	// where another will do.
-	busyFor = 30 * time.Millisecond
-	// defaultTarget is used where none is stated.
+	replyTimeout = 40 * time.Millisecond
+	// delayFactor is how often the router's own processing delay is added to timeouts: once for
+	// the reply, and once for a change of the delay before it is measured again.
+	delayFactor = 2
+	// grantValidFor is the longest pause of the process after which a granted slot may still be
+	// used: the owner reassigns the slots of a holder that has been silent for AttemptTTL, and
+	// sooner those that the holder does not list. Messages that are processed within
+	// resumeGrace after a pause may have been sent during the pause.
+	grantValidFor = time.Second
+	resumeGrace   = 200 * time.Millisecond
+	// unresponsivePeriod is how long an owner that did not reply is not asked, unless a message
+	// of it arrives.
+	unresponsivePeriod = 500 * time.Millisecond
+	// spillAfterFraction of its maximum wait must have passed before a request may go to a
+	// backend server that does not have its shared prefix.
+	spillAfterFraction = 0.7
+	// smallPrefixFraction is the fraction of a prompt up to which reading the shared prefix
+	// again is cheap.
+	smallPrefixFraction = 0.25
+	// maxAsks bounds the open slot requests of one request.
+	maxAsks = 4
+	// busyPeriod is how long a backend server without a free slot is skipped if there are
+	// others.
+	busyPeriod = 30 * time.Millisecond
+	// defaultTarget is used if the request has no target.
 	defaultTarget = time.Second
-	// minRetryAfter is when a request that found no place may come back at the
-	// earliest; up to as much again is added by chance. In that time an engine
-	// reads a prompt of middle size, and the request may yet be in time.
+	// minRetryAfter is the least retry delay of a request that got no slot; a random part of up
+	// to the same length is added. An engine reads a medium-sized prompt in that time.
 	minRetryAfter = 60 * time.Millisecond
-	// retryAfterNoServer is the same where no backend server is there at all.
+	// retryAfterNoServer is the retry delay if the service has no backend server.
 	retryAfterNoServer = 250 * time.Millisecond
-	// retryAfterClosed is the same where operators have closed the zones: they open
-	// them again after seconds at the earliest.
+	// retryAfterClosed is the retry delay if operators have closed the zones.
 	retryAfterClosed = time.Second
-	// localSlots is the part of its slots that a router uses at a backend
-	// server whose owner it cannot ask.
-	localSlots = 0.75
+	// localSlotFraction is the fraction of its slots that a router uses at a backend server
+	// whose owner does not reply.
+	localSlotFraction = 0.75
 )
 
-// Why a backend server was chosen.
+// Reasons for the choice of a backend server.
 const (
-	reasonFirst = "prefix"
-	reasonCopy  = "copy"
-	reasonSpill = "spill"
-	reasonIdle  = "less-busy"
-	// reasonOwnerTimeout: its owner did not reply in time, so that the holder
-	// admitted the request on its own estimate.
+	reasonPreferred = "prefix"
+	reasonCopy      = "copy"
+	reasonSpill     = "spill"
+	reasonLessBusy  = "less-busy"
+	// reasonOwnerTimeout: the owner did not reply in time, and the holder admitted the request
+	// on its own estimate.
 	reasonOwnerTimeout = "owner-timeout"
 )
 
-// advanceWaiting goes on with every request that waits.
+// advanceWaiting advances every waiting request.
 func (c *Core) advanceWaiting() {
 	for _, r := range slices.Clone(c.waiting) {
-		if r.at == nil {
+		if r.server == nil {
 			c.advance(r)
 		}
 	}
 }
 
-// advance asks for a place where that is due, and refuses a request that has
-// waited for as long as it may.
+// advance refuses a request that has waited too long, and otherwise asks for a slot if one more
+// slot request is due.
 func (c *Core) advance(r *request) {
 	if err := c.refusal(r); err != nil {
 		c.refuse(r, err)
@@ -83,35 +80,35 @@
 	if c.expireAsks(r) {
 		return
 	}
-	if c.weights != nil {
-		c.askAgain(r)
+	if c.weighted != nil {
+		c.renewAsks(r)
 	}
-	if r.pending() || c.behindTwin(r) || !c.mayAsk(r) || !c.withinLimits(r) {
+	if r.awaitsReply() || c.waitsForTrial(r) || !c.mayAsk(r) || !c.withinLimits(r) {
 		return
 	}
-	if r.queued() && !c.maySpill(r) || len(r.asks) >= c.mostAsks(r) {
+	if r.isQueued() && !c.maySpill(r) || len(r.asks) >= c.maxAsks(r) {
 		return
 	}
-	if s, why := c.candidate(r); s != nil {
-		c.ask(r, s, why)
+	if s, reason := c.nextServer(r); s != nil {
+		c.askOwner(r, s, reason)
 	}
 }
 
-// mostAsks bounds how many owners are asked for a request. One that may wait asks more the
-// longer it does: no backend server is to be idle meanwhile.
-func (c *Core) mostAsks(r *request) int {
-	if c.weights == nil {
-		return mostAsks
+// maxAsks returns the maximum number of slot requests of a request. If accounts are scheduled
+// by weight it grows with the waiting time, so that no backend server stays idle.
+func (c *Core) maxAsks(r *request) int {
+	if c.weighted == nil {
+		return maxAsks
 	}
 	if len(r.asks) == 0 {
 		return 1
 	}
-	return min(mostAsks, 1+int((c.now-r.asks[0].at)/moreAsksEvery))
+	return min(maxAsks, 1+int((c.now-r.asks[0].sentAt)/extraAskInterval))
 }
 
-// askAgain asks the owners anew that have had a request in their queues for long, and drops
-// the questions that nobody answers any more, so that others are asked instead.
-func (c *Core) askAgain(r *request) {
+// renewAsks drops slot requests that are no longer valid, so that others can be made, and
+// repeats those that have been queued for long.
+func (c *Core) renewAsks(r *request) {
 	r.asks = slices.DeleteFunc(r.asks, func(a *ask) bool {
 		switch a.state {
 		case askDenied:
@@ -123,8 +120,8 @@
 		}
 	})
 	for _, a := range r.asks {
-		if a.state == askQueued && c.now-a.at >= askAgainAfter {
-			a.at = c.now
+		if a.state == askQueued && c.now-a.sentAt >= renewAskAfter {
+			a.sentAt = c.now
 			c.sendAsk(r, a)
 		}
 	}
@@ -134,16 +131,16 @@
 	switch {
 	case c.now >= r.Deadline:
 		return errDeadline
-	case !r.MayHaveRun && !c.anyOpen(r.Service):
-		return c.noneOpen(r.Service)
+	case !r.MayHaveRun && !c.anyReachable(r.Service):
+		return c.noServerError(r.Service)
 	}
-	if err := cmp.Or(c.endsRefusal(r), c.restRefusal(r)); err != nil {
+	if err := cmp.Or(c.crashRefusal(r), c.backoffRefusal(r)); err != nil {
 		return err
 	}
 	switch {
-	case !r.MayHaveRun && r.MaxWait > 0 && c.now-r.arrived >= c.patience(r):
-		if c.behindTwin(r) {
-			return errTwin.After(twinRetryAfter + c.retryAfter())
+	case !r.MayHaveRun && r.MaxWait > 0 && c.now-r.arrivedAt >= c.maxWait(r):
+		if c.waitsForTrial(r) {
+			return errOnTrial.After(trialRetryAfter + c.retryAfter())
 		}
 		return errBusy.After(c.retryAfter())
 	default:
@@ -151,72 +148,70 @@
 	}
 }
 
-// anyOpen reports whether any backend server of a service takes new requests that
-// this router can be expected to reach.
-func (c *Core) anyOpen(service string) bool {
-	return slices.ContainsFunc(c.service(service).servers, c.reaches)
+// anyReachable reports whether any backend server of a service takes new requests and is
+// reachable from this router.
+func (c *Core) anyReachable(service string) bool {
+	return slices.ContainsFunc(c.service(service).servers, c.isReachable)
 }
 
-// reaches reports whether a backend server takes new requests and its zone is not cut
-// off from here.
-func (c *Core) reaches(s *server) bool { return s.open() && !c.cutOff[s.Zone] }
+// isReachable reports whether a backend server takes new requests and its zone is reachable.
+func (c *Core) isReachable(s *server) bool { return s.isOpen() && !c.unreachableZones[s.Zone] }
 
-// findCutOff finds the zones of which routers were known and none is heard any more.
-// What is sent to their backend servers is only found out to be lost when a connection
-// is not answered for 300 ms, by each router for each of them: with half of the open
-// engines cut off 62 of 98 requests were sent there (model, two zones of 5 routers).
-func (c *Core) findCutOff() {
-	c.cutOff = map[string]bool{}
-	for zone, known := range c.known {
-		c.cutOff[zone] = known > 0 && zone != c.opt.self.Zone
+// updateUnreachableZones marks the zones that have known routers of which none is live.
+// Requests to their backend servers would fail only after a connection timeout, once per router
+// and backend server.
+func (c *Core) updateUnreachableZones() {
+	c.unreachableZones = map[string]bool{}
+	for zone, known := range c.routersByZone {
+		c.unreachableZones[zone] = known > 0 && zone != c.opt.self.Zone
 	}
 	for i := range c.routers {
-		delete(c.cutOff, c.routers[i].Zone)
+		delete(c.unreachableZones, c.routers[i].Zone)
 	}
 }
 
-// noneOpen is why no backend server of a service takes new requests.
-func (c *Core) noneOpen(service string) *verdict.Error {
-	if slices.ContainsFunc(c.service(service).servers, func(s *server) bool { return s.closed }) {
-		return errClosed.After(retryAfterClosed)
+// noServerError returns the refusal for a service of which no backend server takes new
+// requests.
+func (c *Core) noServerError(service string) *verdict.Error {
+	if slices.ContainsFunc(c.service(service).servers, func(s *server) bool { return s.zoneClosed }) {
+		return errZoneClosed.After(retryAfterClosed)
 	}
 	return errNoServer.After(retryAfterNoServer)
 }
 
-// patience returns how long a request may wait here. While an owner's answer is due
-// that this router may only not have heard of yet, it waits for that: a place that
-// was given would be lost with what was spent on the request.
-func (c *Core) patience(r *request) time.Duration {
-	if !r.pending() {
+// maxWait returns how long a request may wait here. While a reply may have arrived without
+// having been processed yet, the request waits longer: a granted slot would otherwise be lost.
+func (c *Core) maxWait(r *request) time.Duration {
+	if !r.awaitsReply() {
 		return r.MaxWait
 	}
-	return r.MaxWait + waysHeard*c.late
+	return r.MaxWait + delayFactor*c.delay
 }
 
-// retryAfter returns when a request that was refused may find a place.
+// retryAfter returns a random retry delay for a refused request.
 func (c *Core) retryAfter() time.Duration {
 	return minRetryAfter + time.Duration(c.rng.Int64N(int64(minRetryAfter)))
 }
 
-// pending reports whether a question waits for its first answer.
-func (r *request) pending() bool {
+// awaitsReply reports whether any slot request has had no reply yet.
+func (r *request) awaitsReply() bool {
 	return slices.ContainsFunc(r.asks, func(a *ask) bool { return a.state == askSent })
 }
 
-func (r *request) queued() bool {
+func (r *request) isQueued() bool {
 	return slices.ContainsFunc(r.asks, func(a *ask) bool { return a.state == askQueued })
 }
 
-// expireAsks passes over owners that did not reply in time. It reports whether the
-// request was admitted without them.
+// expireAsks handles owners that did not reply in time. It reports whether the request was
+// admitted without a grant.
 func (c *Core) expireAsks(r *request) bool {
 	for _, a := range r.asks {
-		// While this router stood still it could hear no reply.
-		if a.state != askSent || c.now-max(a.at, c.stood.to) < replyWithin+waysHeard*c.late {
+		// Replies could not be processed during a pause of this process.
+		if a.state != askSent || c.now-max(a.sentAt, c.pause.to) < replyTimeout+delayFactor*c.delay {
 			continue
 		}
 		a.state = askUnanswered
-		c.unresponsive[a.owner] = c.now
+		c.unresponsiveSince[a.owner] = c.now
 		if c.admitLocally(r, a) {
 			return true
 		}
@@ -225,36 +220,35 @@
 }
 
 func (c *Core) isUnresponsive(owner string) bool {
-	at, ok := c.unresponsive[owner]
-	return ok && c.now-at < unresponsiveFor
+	at, ok := c.unresponsiveSince[owner]
+	return ok && c.now-at < unresponsivePeriod
 }
 
-// admitLocally sends a request without an owner's word, on this router's own
-// estimate of what is under way there and of what is kept there.
+// admitLocally starts a request without a grant, on this router's own estimate of the load at
+// the backend server.
 func (c *Core) admitLocally(r *request, a *ask) bool {
 	s := a.server
-	if c.weights != nil || !c.takes(s) || s.isWarming(c.now) || float64(s.running(c.now)) >= localSlots*float64(s.Slots) {
+	if c.weighted != nil || !c.accepts(s) || s.isWarming(c.now) || float64(s.running(c.now)) >= localSlotFraction*float64(s.Slots) {
 		return false
 	}
 	if c.service(r.Service).engine && s.ownUnread() > 0 {
 		return false
 	}
 	r.unread = max(1, r.Prompt-r.Shared)
-	// The engine would read the shared parts again: 6.0, 2.7 and 1.5 M tokens on three
-	// days with floods at 61 to 85 routers, 4.4, 2.5 and 1.4 M with copies.
+	// Without a copy the engine would read the shared prefix again.
 	from := ""
-	if r.Prefix != 0 && !s.copies.has(r.Prefix, c.now) {
+	if r.Prefix != 0 && !s.prefixes.has(r.Prefix, c.now) {
 		from = a.source.address()
-		c.noteCopy(s, r.Prefix)
+		c.recordCopy(s, r.Prefix)
 	}
-	c.start(r, s, Start{FetchFrom: from, Reason: reasonOwnerTimeout, Running: s.running(c.now)})
-	c.note(r, &wire.Note{Kind: wire.NoteStarted, Unread: r.unread})
+	c.startRequest(r, s, Start{FetchFrom: from, Reason: reasonOwnerTimeout, Running: s.running(c.now)})
+	c.notifyOwner(r, &wire.Note{Kind: wire.NoteStarted, Unread: r.unread})
 	return true
 }
 
-// ask asks the owner of a backend server for a place.
-func (c *Core) ask(r *request, s *server, why string) {
-	a := &ask{server: s, owner: s.owner, at: c.now, why: why, source: c.sourceFor(r, s), caution: c.caution(r)}
+// askOwner requests a slot from the owner of a backend server.
+func (c *Core) askOwner(r *request, s *server, reason string) {
+	a := &ask{server: s, owner: s.owner, sentAt: c.now, reason: reason, source: c.copySource(r, s), isolation: c.isolation(r)}
 	r.asks = append(r.asks, a)
 	if c.isUnresponsive(s.owner) {
 		a.state = askUnanswered
@@ -264,72 +258,73 @@
 	c.sendAsk(r, a)
 }
 
-// sendAsk sends a question to the owner of a backend server.
+// sendAsk sends a slot request.
 func (c *Core) sendAsk(r *request, a *ask) {
-	s, why := a.server, a.why
+	s, reason := a.server, a.reason
 	target := r.Target
 	if target == 0 {
 		target = defaultTarget
 	}
-	if c.weights != nil {
-		target -= time.Duration(r.Priority) * priorityLead
+	if c.weighted != nil {
+		target -= time.Duration(r.Priority) * priorityStep
 	}
 	wait := r.Deadline - c.now
 	if r.MaxWait > 0 && !r.MayHaveRun {
-		wait = min(wait, r.arrived+r.MaxWait-c.now)
+		wait = min(wait, r.arrivedAt+r.MaxWait-c.now)
 	}
 	c.send(s.owner, &wire.Ask{
 		ID: r.ID, Server: s.key, Account: r.account, AccountRank: r.AccountRank, Rank: r.Rank,
 		Prefix: r.Prefix, Prompt: r.Prompt, Shared: r.Shared,
-		TargetMillis: (r.arrived + target - c.now).Milliseconds(), WaitMillis: wait.Milliseconds(), Spill: why == reasonSpill,
-		Begun: r.MayHaveRun, Fetch: a.source != nil, Alone: a.caution == alone,
+		TargetMillis: (r.arrivedAt + target - c.now).Milliseconds(), WaitMillis: wait.Milliseconds(), Spill: reason == reasonSpill,
+		Begun: r.MayHaveRun, Fetch: a.source != nil, Alone: a.isolation == exclusive,
 	})
 }
 
-// replied takes in an owner's answer.
-func (c *Core) replied(from string, m *wire.Reply) {
-	if s, ok := c.servers[m.Server]; ok {
-		s.seen, s.seenAt = use{running: m.Running, unread: m.Unread}, c.now
-		if m.State != wire.PlaceGranted {
-			s.busyUntil = c.now + busyFor
+// handleReply processes an owner's reply to a slot request.
+func (c *Core) handleReply(from string, reply *wire.Reply) {
+	if s, ok := c.servers[reply.Server]; ok {
+		s.reported, s.reportedAt = occupancy{running: reply.Running, unread: reply.Unread}, c.now
+		if reply.State != wire.PlaceGranted {
+			s.busyUntil = c.now + busyPeriod
 		}
 	}
-	r, ok := c.requests[m.ID]
-	a := r.askOf(m.Server)
-	if !ok || r.at != nil || a == nil {
-		if m.State == wire.PlaceGranted && (r == nil || r.at == nil || r.at.key != m.Server) {
-			c.send(from, &wire.Note{ID: m.ID, Server: m.Server, Kind: wire.NoteEnded, Result: uint8(Unknown)})
+	r, ok := c.requests[reply.ID]
+	a := r.askOf(reply.Server)
+	if !ok || r.server != nil || a == nil {
+		if reply.State == wire.PlaceGranted && (r == nil || r.server == nil || r.server.key != reply.Server) {
+			c.send(from, &wire.Note{ID: reply.ID, Server: reply.Server, Kind: wire.NoteEnded, Result: uint8(Unknown)})
 		}
 		return
 	}
 	switch {
-	case m.State == wire.PlaceGranted && c.lapsed(r, a):
-		c.send(from, &wire.Note{ID: m.ID, Server: m.Server, Kind: wire.NoteEnded, Result: uint8(Unknown)})
+	case reply.State == wire.PlaceGranted && c.grantExpired(r, a):
+		c.send(from, &wire.Note{ID: reply.ID, Server: reply.Server, Kind: wire.NoteEnded, Result: uint8(Unknown)})
 		a.state = askDenied
 		c.advance(r)
-	case m.State == wire.PlaceGranted:
-		c.granted(r, a, m)
-	case m.State == wire.PlaceQueued:
+	case reply.State == wire.PlaceGranted:
+		c.startGranted(r, a, reply)
+	case reply.State == wire.PlaceQueued:
 		a.state = askQueued
 		c.advance(r)
-	case m.State == wire.PlaceDenied:
+	case reply.State == wire.PlaceDenied:
 		a.state = askDenied
 		c.advance(r)
 	}
 }
 
-// lapsed reports whether a place that was given is not to be used: the backend server was
-// closed, marked or turned away, or the request suspected, since it was asked for, or its time
-// has passed or the owner may have given the place away.
-func (c *Core) lapsed(r *request, a *ask) bool {
-	return !c.takes(a.server) || !c.withinLimits(r) || c.caution(r) > a.caution || c.behindTwin(r) || c.now >= r.Deadline || c.mayBeStale(a)
+// grantExpired reports whether a granted slot must not be used: since the slot request was
+// sent, the backend server may have stopped taking requests, the account may have reached its
+// limits, the request may need stricter isolation or have passed its deadline, or the owner may
+// have reassigned the slot.
+func (c *Core) grantExpired(r *request, a *ask) bool {
+	return !c.accepts(a.server) || !c.withinLimits(r) || c.isolation(r) > a.isolation || c.waitsForTrial(r) || c.now >= r.Deadline || c.mayBeReassigned(a)
 }
 
-// mayBeStale reports whether the answer to a question may have lain here while this router
-// stood still for so long that its owner has given the place to another.
-func (c *Core) mayBeStale(a *ask) bool {
-	long := c.stood.to-c.stood.from >= placeFor
-	return long && a.at <= c.stood.from && c.now-c.stood.to < wakeFor
+// mayBeReassigned reports whether the reply may have arrived during a pause of this process so
+// long that the owner has reassigned the slot.
+func (c *Core) mayBeReassigned(a *ask) bool {
+	long := c.pause.to-c.pause.from >= grantValidFor
+	return long && a.sentAt <= c.pause.from && c.now-c.pause.to < resumeGrace
 }
 
 func (r *request) askOf(server wire.Key) *ask {
@@ -344,29 +339,29 @@
 	return nil
 }
 
-// granted starts a request that was given a place.
-func (c *Core) granted(r *request, a *ask, m *wire.Reply) {
-	r.unread = m.Own
-	if r.Prefix != 0 && (a.why != reasonFirst || m.Fetch || m.Own > r.Prompt-r.Shared) {
-		c.noteCopy(a.server, r.Prefix)
+// startGranted starts a request for which a slot was granted.
+func (c *Core) startGranted(r *request, a *ask, reply *wire.Reply) {
+	r.unread = reply.Own
+	if r.Prefix != 0 && (a.reason != reasonPreferred || reply.Fetch || reply.Own > r.Prompt-r.Shared) {
+		c.recordCopy(a.server, r.Prefix)
 	}
 	from := ""
-	if m.Fetch {
+	if reply.Fetch {
 		from = a.source.address()
 	}
-	c.start(r, a.server, Start{
-		FetchFrom: from, Reason: a.why, TokensAhead: m.Ahead, ExpectedDelay: time.Duration(m.ExpectedMillis) * time.Millisecond, Running: m.Running,
+	c.startRequest(r, a.server, Start{
+		FetchFrom: from, Reason: a.reason, TokensAhead: reply.Ahead, ExpectedDelay: time.Duration(reply.ExpectedMillis) * time.Millisecond, Running: reply.Running,
 	})
 }
 
-// mostCopies bounds what is told of copies at once.
-const mostCopies = 64
+// maxCopies bounds the copies reported in one snapshot.
+const maxCopies = 64
 
-// noteCopy remembers where a prompt's beginning was not kept before, and has the
-// others told.
-func (c *Core) noteCopy(s *server, prefix uint64) {
-	s.copies.note(prefix, c.now)
-	if len(c.copies) < mostCopies {
-		c.copies = append(c.copies, wire.Copy{Prefix: prefix, Server: s.key})
+// recordCopy records that a backend server now has a prefix, and reports it to other routers
+// with the next snapshot.
+func (c *Core) recordCopy(s *server, prefix uint64) {
+	s.prefixes.add(prefix, c.now)
+	if len(c.newCopies) < maxCopies {
+		c.newCopies = append(c.newCopies, wire.Copy{Prefix: prefix, Server: s.key})
 	}
 }
--- a/pkg/admit/server.go
+++ b/pkg/admit/server.go
@@ -9,115 +9,111 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// server is a backend server as this router knows it.
+// server is the state of a backend server at this router.
 type server struct {
 	table.Backend
 	key wire.Key
-	// joined is when this router first saw it in the directory.
-	joined time.Duration
-	// generation is the last table that lists it.
+	// addedAt is when this router first saw it in the directory.
+	addedAt time.Duration
+	// generation is that of the last table that listed it.
 	generation uint64
-	// owner is the router that gives places there, ownerScore its score among those
-	// that might, ownedSince when this router last became it.
+	// owner is the router that grants slots there, ownerScore its rendezvous score, ownedSince
+	// when this router last became the owner.
 	owner      string
 	ownerScore float64
 	ownedSince time.Duration
-	// closed says that its zone is closed to new requests.
-	closed bool
-	// warmUntil is until when it bears warmupRate requests a second only.
+	// zoneClosed says that operators closed its zone to new requests.
+	zoneClosed bool
+	// warmUntil is the end of its warm-up, during which it takes only warmupRate requests per
+	// second.
 	warmUntil  time.Duration
 	warmupRate float64
-	// warmupTime is for how long it warms up after a start, doubtUntil until when it
-	// may have started anew without having said so.
-	warmupTime, doubtUntil time.Duration
-	// own are the requests that this router has under way there.
-	own map[uint64]*request
-	// seen is what its owner last told is under way there, and when.
-	seen   use
-	seenAt time.Duration
-	// busyUntil is until when it is taken to have no place.
+	// warmupTime is the length of a warm-up. Until mayWarmUntil it may be in a warm-up that the
+	// directory does not show yet.
+	warmupTime, mayWarmUntil time.Duration
+	// requests are those that this router has in flight there.
+	requests map[uint64]*request
+	// reported is the occupancy last reported by its owner.
+	reported   occupancy
+	reportedAt time.Duration
+	// busyUntil is until when it is assumed to have no free slot.
 	busyUntil time.Duration
 	health    health
-	// alive is the last time during which it is known not to have ended.
-	alive span
-	// heard is when it last answered this router.
-	heard time.Duration
-	// silences are tries of this router during which it said nothing, the oldest first.
-	silences []silence
-	// vanished says that the directory ceased to list it without having said that it leaves.
+	// alive is the last interval in which it is known not to have crashed.
+	alive interval
+	// answeredAt is when it last responded to this router.
+	answeredAt time.Duration
+	// stalls are recent attempts of this router without a response, the oldest first.
+	stalls []stall
+	// vanished says that the directory stopped listing it without having shown it as leaving.
 	vanished bool
-	// word is what it says of itself, nil if it said nothing.
-	word *word
-	// copies are the prompts' beginnings that were read there, or copied to it,
-	// lately.
-	copies recent
-	// owned is what this router knows as the owner, nil if it is not.
-	owned *owned
+	// notice is what it announced about itself, nil if nothing.
+	notice *notice
+	// prefixes are the prompt prefixes that were recently read there or copied to it.
+	prefixes recentSet
+	// owned is the owner state, nil if this router has none for it.
+	owned *ownerState
 }
 
-// use is what is under way at a backend server.
-type use struct {
-	// running is how many requests were sent there and have not ended.
+// occupancy is the load of a backend server.
+type occupancy struct {
+	// running is the number of requests in flight.
 	running int
-	// unread is the tokens of their prompts that are still to be read.
+	// unread is the number of their prompt tokens still to be read.
 	unread int64
 }
 
-// open reports whether new work may go there.
-func (s *server) open() bool {
-	return s.Mark == table.Serving && !s.closed && !s.saysLeaving()
+// isOpen reports whether the backend server takes new requests.
+func (s *server) isOpen() bool {
+	return s.Mark == table.Serving && !s.zoneClosed && !s.announcedLeaving()
 }
 
-// seenFor is how long what an owner told of a backend server is believed.
-const seenFor = time.Second
+// occupancyTTL is how long a reported number of requests is used.
+const occupancyTTL = time.Second
 
-// running returns how many requests are believed to be there.
+// running returns the estimated number of requests in flight.
 func (s *server) running(now time.Duration) int {
-	if now-s.seenAt > seenFor {
-		return len(s.own)
+	if now-s.reportedAt > occupancyTTL {
+		return len(s.requests)
 	}
-	return max(s.seen.running, len(s.own))
+	return max(s.reported.running, len(s.requests))
 }
 
-// unreadFor is how long what an owner told of prompts to be read is believed:
-// about as long as it takes to read them.
-const unreadFor = 100 * time.Millisecond
+// unreadTTL is how long a reported number of unread tokens is used: about as long as it takes
+// to read them.
+const unreadTTL = 100 * time.Millisecond
 
-// unreadSeen returns how many tokens are believed to be to be read there, 0 if
-// that is not known.
-func (s *server) unreadSeen(now time.Duration) int64 {
-	if now-s.seenAt > unreadFor {
+// unreadReported returns the last reported number of unread tokens, 0 if it has expired.
+func (s *server) unreadReported(now time.Duration) int64 {
+	if now-s.reportedAt > unreadTTL {
 		return 0
 	}
-	return s.seen.unread
+	return s.reported.unread
 }
 
-// ownUnread returns how many tokens this router's own requests there still have
-// to be read.
+// ownUnread returns the number of unread tokens of this router's own requests.
 func (s *server) ownUnread() int64 {
 	sum := int64(0)
-	for _, r := range s.own {
+	for _, r := range s.requests {
 		sum += r.unread
 	}
 	return sum
 }
 
-// service is the backend servers of a service or model.
+// service is a service or model with its backend servers.
 type service struct {
 	name    string
 	servers []*server
-	// orders are the orders of servers for prompts, by the hash of their shared
-	// parts.
+	// orders caches prefixOrder by prefix.
 	orders map[uint64][]*server
-	// middle is the part of failures of the middle one of the servers, as of
-	// middleAt.
-	middle   float64
-	middleAt time.Duration
+	// median is the median failure rate of the servers as of medianAt.
+	median   float64
+	medianAt time.Duration
 	// latency predicts the time to the first event.
 	latency latencyModel
-	// shortest is the shortest target of its requests lately.
-	shortest shortest
-	// engine says that answers are generated.
+	// shortestTarget is the shortest target of recent requests.
+	shortestTarget windowMin
+	// engine says that the servers are engines, which generate responses token by token.
 	engine bool
 }
 
@@ -133,42 +129,43 @@
 // serviceOf returns the service of a backend server.
 func (c *Core) serviceOf(s *server) *service { return c.service(s.Models[0]) }
 
-// tellHeld tells the owner of a backend server what this router has there.
-func (c *Core) tellHeld(s *server) {
-	if len(s.own) > 0 || s.owner == c.opt.self.Address {
-		c.send(s.owner, &wire.Sync{Held: []wire.Held{s.held()}})
+// sendHeld sends the owner of a backend server the requests that this router has in flight
+// there.
+func (c *Core) sendHeld(s *server) {
+	if len(s.requests) > 0 || s.owner == c.opt.self.Address {
+		c.send(s.owner, &wire.Sync{Held: []wire.Held{s.heldRequests()}})
 	}
 }
 
-// held lists what this router has under way at a backend server.
-func (s *server) held() wire.Held {
+// heldRequests lists the requests that this router has in flight at a backend server.
+func (s *server) heldRequests() wire.Held {
 	h := wire.Held{Server: s.key}
-	for _, id := range slices.Sorted(maps.Keys(s.own)) {
+	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
 		h.IDs = append(h.IDs, id)
-		h.Unread = append(h.Unread, s.own[id].unread)
+		h.Unread = append(h.Unread, s.requests[id].unread)
 	}
 	return h
 }
 
-// syncEvery is the interval at which owners are told all that is under way.
-const syncEvery = time.Second
+// syncInterval is the interval at which owners get full lists of the requests in flight.
+const syncInterval = time.Second
 
-// syncIfDue tells each owner what this router has at its backend servers, so
-// that messages which were lost do no lasting harm.
+// syncIfDue sends each owner the full list of this router's requests at its backend servers,
+// which corrects the effects of lost messages.
 func (c *Core) syncIfDue() {
-	if c.now-c.synced < syncEvery {
+	if c.now-c.syncedAt < syncInterval {
 		return
 	}
-	c.synced = c.now
+	c.syncedAt = c.now
 	held := map[string]*wire.Sync{}
-	for _, s := range c.ordered {
-		if len(s.own) == 0 {
+	for _, s := range c.sortedServers {
+		if len(s.requests) == 0 {
 			continue
 		}
 		if held[s.owner] == nil {
 			held[s.owner] = &wire.Sync{}
 		}
-		held[s.owner].Held = append(held[s.owner].Held, s.held())
+		held[s.owner].Held = append(held[s.owner].Held, s.heldRequests())
 	}
 	for _, owner := range slices.Sorted(maps.Keys(held)) {
 		c.send(owner, held[owner])
--- a/pkg/admit/shares.go
+++ b/pkg/admit/shares.go
@@ -7,56 +7,55 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// Shares sums up how the engines' tokens are shared out, for operators. Flows
-// are in tokens a second over all routers, as known here.
+// Shares summarizes for operators how the engines' throughput is divided. Rates are in tokens
+// per second in the whole fleet, as known to this router.
 type Shares struct {
 	// Demand and Started are the sums over all accounts.
 	Demand, Started float64
-	// FairShare is what no account gets more than while others wait, 0 if all get
-	// what they ask.
+	// FairShare bounds what an account gets while others wait, 0 if all demand is met.
 	FairShare float64
-	// Throttled is how many accounts have a part of their requests refused
-	// unseen, LeastPart the least part that is let in.
+	// Throttled is the number of accounts with a fraction of their requests refused early,
+	// MinFraction the least fraction admitted.
 	Throttled   int
 	MinFraction float64
-	// LeastServedAccount is the account that has begun the least part of what it asks for, or of
-	// what the best served account has begun if that is less, and LeastServed that
-	// part: 1 if none asks for more than it gets.
+	// LeastServedAccount is the account that gets the least fraction of its demand, or of what
+	// the best served account gets if that is less. LeastServedFraction is that fraction, 1 if
+	// no account waits.
 	LeastServedAccount  wire.Key
 	LeastServedFraction float64
 }
 
-// waitsFrom is by how many times more than it begins an account asks for to count as one
-// that waits: both flows fade, and what is asked is begun some time later.
-const waitsFrom = 1.25
+// waitingThreshold is the ratio of demand to started rate from which an account counts as
+// waiting. Demand is counted earlier than the start of the same request.
+const waitingThreshold = 1.25
 
-// Shares returns the shares as they are now.
+// Shares returns the current summary.
 func (c *Core) Shares(now time.Duration) Shares {
 	sh := Shares{MinFraction: 1, LeastServedFraction: 1}
 	best := 0.0
-	for key, a := range c.accounts.by {
+	for key, a := range c.accounts.byKey {
 		f := a.flow(now)
-		sh.Demand += f.asked
-		sh.Started += f.begun
+		sh.Demand += f.demand
+		sh.Started += f.started
 		if key != 0 {
-			best = max(best, f.begun)
+			best = max(best, f.started)
 		}
 	}
-	for key, a := range c.accounts.by {
+	for key, a := range c.accounts.byKey {
 		f := a.flow(now)
-		if key == 0 || f.asked <= waitsFrom*f.begun || best == 0 {
+		if key == 0 || f.demand <= waitingThreshold*f.started || best == 0 {
 			continue
 		}
-		if part := f.begun / min(f.asked, best); part < sh.LeastServedFraction {
-			sh.LeastServedAccount, sh.LeastServedFraction = key, part
+		if fraction := f.started / min(f.demand, best); fraction < sh.LeastServedFraction {
+			sh.LeastServedAccount, sh.LeastServedFraction = key, fraction
 		}
 	}
-	for _, part := range c.AdmitFractions(now) {
+	for _, fraction := range c.AdmitFractions(now) {
 		sh.Throttled++
-		sh.MinFraction = min(sh.MinFraction, part)
+		sh.MinFraction = min(sh.MinFraction, fraction)
 	}
-	if !math.IsInf(c.accounts.level, 1) {
-		sh.FairShare = c.accounts.level
+	if !math.IsInf(c.accounts.fairShare, 1) {
+		sh.FairShare = c.accounts.fairShare
 	}
 	return sh
 }
