--- a/pkg/admit/shortest.go
+++ b/pkg/admit/shortest.go
@@ -2,48 +2,47 @@
 
 import "time"
 
-// shortest is the least duration seen lately.
-type shortest struct {
-	// least and before are the least of this period and of the one before it.
-	least, before time.Duration
-	since         time.Duration
+// windowMin is the minimum of recent durations.
+type windowMin struct {
+	// current and previous are the minima of the current and the previous window, 0 if there is
+	// none.
+	current, previous time.Duration
+	startedAt         time.Duration
 }
 
-// shortestFor is the period: a kind of request that comes less often does not
-// count for long.
-const shortestFor = 2 * time.Second
+// minWindow is the length of a window.
+const minWindow = 2 * time.Second
 
 // observe adds a sample.
-func (s *shortest) observe(now, d time.Duration) {
-	s.turn(now)
-	if d > 0 && (s.least == 0 || d < s.least) {
-		s.least = d
+func (s *windowMin) observe(now, d time.Duration) {
+	s.rotate(now)
+	if d > 0 && (s.current == 0 || d < s.current) {
+		s.current = d
 	}
 }
 
-// get returns the least duration of the last one to two periods, or
-// defaultTarget if nothing was seen.
-func (s *shortest) get(now time.Duration) time.Duration {
-	s.turn(now)
+// get returns the minimum of the last two windows, or defaultTarget without samples.
+func (s *windowMin) get(now time.Duration) time.Duration {
+	s.rotate(now)
 	switch {
-	case s.least == 0 && s.before == 0:
+	case s.current == 0 && s.previous == 0:
 		return defaultTarget
-	case s.least == 0:
-		return s.before
-	case s.before == 0:
-		return s.least
+	case s.current == 0:
+		return s.previous
+	case s.previous == 0:
+		return s.current
 	default:
-		return min(s.least, s.before)
+		return min(s.current, s.previous)
 	}
 }
 
-func (s *shortest) turn(now time.Duration) {
-	if now-s.since < shortestFor {
+func (s *windowMin) rotate(now time.Duration) {
+	if now-s.startedAt < minWindow {
 		return
 	}
-	s.before, s.least = s.least, 0
-	if now-s.since >= 2*shortestFor {
-		s.before = 0
+	s.previous, s.current = s.current, 0
+	if now-s.startedAt >= 2*minWindow {
+		s.previous = 0
 	}
-	s.since = now
+	s.startedAt = now
 }
--- a/pkg/admit/silence.go
+++ b/pkg/admit/silence.go
@@ -7,55 +7,56 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// A backend server whose machine is lost breaks no connection off: its requests fall silent,
-// and some seconds later the directory does not list it any more. That is an end like any
-// other, for which a silence alone is no sign: a server may be slow, or the way to it cut.
+// If a machine is lost, connections to its backend server do not break: requests stall, and
+// some seconds later the directory no longer lists the server. That counts as a crash under
+// these requests. A stall alone does not, since the server or the network may be slow.
 
 const (
-	// silenceKept is for how long a silence may be an end: leases of entries last some
-	// seconds.
-	silenceKept = 10 * time.Second
-	// mostSilences bounds those that are remembered of a backend server: as many as an
-	// engine runs requests.
-	mostSilences = 64
+	// stallTTL bounds the time between a stall and the removal of the directory entry. Entries
+	// have leases of some seconds.
+	stallTTL = 10 * time.Second
+	// maxStalls bounds the stalls remembered per backend server.
+	maxStalls = 64
 )
 
-// silence is a try that ended without a word of its backend server since it was sent.
-type silence struct {
-	digest   suspect.Digest
-	sent, at time.Duration
+// stall is an attempt that ended without any response of its backend server after the attempt
+// was sent.
+type stall struct {
+	digest            suspect.Digest
+	sentAt, stalledAt time.Duration
 }
 
-// noteSilence takes in that a try ended without an answer.
-func (c *Core) noteSilence(r *request, d suspect.Digest) {
-	s := r.at
-	if d == 0 || s.heard >= r.started {
+// recordStall records that an attempt ended without a response.
+func (c *Core) recordStall(r *request, d suspect.Digest) {
+	s := r.server
+	if d == 0 || s.answeredAt >= r.startedAt {
 		return
 	}
-	if len(s.silences) == mostSilences {
-		s.silences = s.silences[1:]
+	if len(s.stalls) == maxStalls {
+		s.stalls = s.stalls[1:]
 	}
-	s.silences = append(s.silences, silence{digest: d, sent: r.started, at: c.now})
-	c.endSilences(s)
+	s.stalls = append(s.stalls, stall{digest: d, sentAt: r.startedAt, stalledAt: c.now})
+	c.crashFromStalls(s)
 }
 
-// noteVanished takes in that the directory does not list a backend server any more.
-func (c *Core) noteVanished(s *server) {
-	s.vanished = s.vanished || s.Mark == table.Serving && !s.saysLeaving()
-	c.endSilences(s)
+// recordVanished records that the directory no longer lists a backend server.
+func (c *Core) recordVanished(s *server) {
+	s.vanished = s.vanished || s.Mark == table.Serving && !s.announcedLeaving()
+	c.crashFromStalls(s)
 }
 
-// endSilences takes the silences of a backend server for its end if its entry has gone
-// unannounced. That of one in a zone that is cut off goes, too. When it ended is not known, so
-// that none of its requests stands out by it.
-func (c *Core) endSilences(s *server) {
-	if !s.vanished || c.cutOff[s.Zone] {
+// crashFromStalls records a crash under the stalled requests of a backend server that vanished
+// from the directory without having announced that it leaves. It does nothing in unreachable
+// zones, whose entries vanish as well. Since the time of the crash is unknown, Unanswered stays
+// unset.
+func (c *Core) crashFromStalls(s *server) {
+	if !s.vanished || c.unreachableZones[s.Zone] {
 		return
 	}
-	for _, x := range s.silences {
-		if c.now-x.at < silenceKept && s.heard < x.sent {
-			c.noteEnd(s, suspect.End{Digest: x.digest, At: x.at, Sent: x.sent})
+	for _, x := range s.stalls {
+		if c.now-x.stalledAt < stallTTL && s.answeredAt < x.sentAt {
+			c.recordCrash(s, suspect.End{Digest: x.digest, At: x.stalledAt, Sent: x.sentAt})
 		}
 	}
-	s.silences = nil
+	s.stalls = nil
 }
--- a/pkg/admit/suspects.go
+++ b/pkg/admit/suspects.go
@@ -8,90 +8,90 @@
 )
 
 const (
-	// mostTold bounds the ends that routers tell each other of in one message: 256 of
-	// 21 bytes take 5 kB, and are those of four backend servers.
-	mostTold = 256
-	// mostWaitTold bounds those that wait to be told.
-	mostWaitTold = 4 * mostTold
+	// maxPerMessage bounds each list in a message about crashes. 256 crashes take 5 kB.
+	maxPerMessage = 256
+	// maxQueuedUpdates bounds each list of queued updates.
+	maxQueuedUpdates = 4 * maxPerMessage
 )
 
-// SuspectAdded is an action: a backend server ended while a request was under way there.
+// SuspectAdded is an action: a backend server crashed while a request was in flight there.
 type SuspectAdded struct {
 	Digest  suspect.Digest
 	Backend string
-	// Crashes is how many backend servers ended under the request.
+	// Crashes is the number of backend servers that crashed under the request.
 	Crashes int
-	// From is the router that told of it, "" if the request was this router's.
+	// From is the router that reported it, "" if this router held the request.
 	From string
 }
 
 func (SuspectAdded) action() {}
 
-// SuspectCleared is an action: ends of a request are not remembered any more.
+// SuspectCleared is an action: the crashes recorded for a request were removed.
 type SuspectCleared struct{ suspect.Cleared }
 
 func (SuspectCleared) action() {}
 
-// tellCleared says what has been forgotten of ends, or taken back.
-func (c *Core) tellCleared() {
+// emitCleared emits an action for each request whose crashes were removed.
+func (c *Core) emitCleared() {
 	for _, x := range c.suspects.Cleared() {
-		c.act(SuspectCleared{x})
+		c.emit(SuspectCleared{x})
 	}
 }
 
-// noteEnd takes in that a backend server ended while a request of this router was under way
-// there.
-func (c *Core) noteEnd(s *server, e suspect.End) {
+// recordCrash records that a backend server crashed while a request of this router was in
+// flight there.
+func (c *Core) recordCrash(s *server, e suspect.End) {
 	e.Server = suspect.Server(s.key)
 	if c.suspects.Note(c.now, e) {
-		c.act(SuspectAdded{Digest: e.Digest, Backend: s.Name, Crashes: c.suspects.Standing(c.now, e.Digest).Ends})
+		c.emit(SuspectAdded{Digest: e.Digest, Backend: s.Name, Crashes: c.suspects.Standing(c.now, e.Digest).Ends})
 		e.More = c.suspects.MoreOf(e.Digest)
-		addBounded(&c.ownNews.ends, e)
+		appendBounded(&c.ownUpdates.crashes, e)
 	}
 }
 
-// suspectNews is what other routers are to be told of ends.
-type suspectNews struct {
-	ends []suspect.End
-	ran  []uint64
-	// begun, answers and over are requests of which a try runs, has begun to answer, or
-	// does not run any more.
-	begun, answers, over []uint64
+// suspectUpdates are changes to send to other routers.
+type suspectUpdates struct {
+	crashes   []suspect.End
+	completed []uint64
+	// started, answered and ended are suspect requests of which an attempt started, began to
+	// respond, or ended without a response.
+	started, answered, ended []uint64
 }
 
-func (n *suspectNews) empty() bool {
-	return len(n.ends)+len(n.ran)+len(n.begun)+len(n.answers)+len(n.over) == 0
+func (n *suspectUpdates) empty() bool {
+	return len(n.crashes)+len(n.completed)+len(n.started)+len(n.answered)+len(n.ended) == 0
 }
 
-// addBounded adds to a list of what waits to be told.
-func addBounded[T any](list *[]T, x T) {
-	if len(*list) < mostWaitTold {
+// appendBounded appends to a list of queued updates unless it is full.
+func appendBounded[T any](list *[]T, x T) {
+	if len(*list) < maxQueuedUpdates {
 		*list = append(*list, x)
 	}
 }
 
-// ranWhole takes in that a request has run to its end.
-func (c *Core) ranWhole(d suspect.Digest) {
+// markCompleted records that a request completed.
+func (c *Core) markCompleted(d suspect.Digest) {
 	if c.suspects.Ran(c.now, d) {
-		addBounded(&c.ownNews.ran, uint64(d))
+		appendBounded(&c.ownUpdates.completed, uint64(d))
 	}
 }
 
-// toldSuspects takes in what another router knows of ends. What is news is passed on.
-func (c *Core) toldSuspects(from string, m *wire.Suspects) {
-	for _, x := range m.Ends[:min(mostTold, len(m.Ends))] {
-		c.toldEnd(from, x)
+// handleSuspects applies another router's crash records, and queues those that were unknown for
+// relaying.
+func (c *Core) handleSuspects(from string, m *wire.Suspects) {
+	for _, x := range m.Ends[:min(maxPerMessage, len(m.Ends))] {
+		c.applyCrash(from, x)
 	}
-	for _, d := range m.Ran[:min(mostTold, len(m.Ran))] {
+	for _, d := range m.Ran[:min(maxPerMessage, len(m.Ran))] {
 		if c.suspects.Ran(c.now, suspect.Digest(d)) {
-			addBounded(&c.heardNews.ran, d)
+			appendBounded(&c.relayUpdates.completed, d)
 		}
 	}
-	c.toldTrials(from, m)
+	c.handleTrials(from, m)
 }
 
-func (c *Core) toldEnd(from string, x wire.SuspectEnd) {
-	if !isAgo(x.AgoMillis) || !isAgo(x.SentMillis) {
+func (c *Core) applyCrash(from string, x wire.SuspectEnd) {
+	if !isValidAge(x.AgoMillis) || !isValidAge(x.SentMillis) {
 		return
 	}
 	at := c.now - time.Duration(x.AgoMillis)*time.Millisecond
@@ -102,72 +102,74 @@
 	name := ""
 	if s, ok := c.servers[x.Server]; ok {
 		name = s.Name
-		if s.alive.holds(e.At) {
+		if s.alive.contains(e.At) {
 			return
 		}
 	}
 	if c.suspects.Note(c.now, e) {
-		c.act(SuspectAdded{Digest: e.Digest, Backend: name, Crashes: c.suspects.Standing(c.now, e.Digest).Ends, From: from})
-		addBounded(&c.heardNews.ends, e)
+		c.emit(SuspectAdded{Digest: e.Digest, Backend: name, Crashes: c.suspects.Standing(c.now, e.Digest).Ends, From: from})
+		appendBounded(&c.relayUpdates.crashes, e)
 	}
 }
 
-// isAgo reports whether an end may be told of that was so long ago.
-func isAgo(millis int64) bool { return millis >= 0 && millis <= suspect.LongestKept.Milliseconds() }
+// isValidAge reports whether an age in a message is within the time for which crashes are kept.
+func isValidAge(millis int64) bool {
+	return millis >= 0 && millis <= suspect.LongestKept.Milliseconds()
+}
 
-// HasSuspectUpdates reports whether other routers are to be told of something at once.
-func (c *Core) HasSuspectUpdates() bool { return !c.ownNews.empty() }
+// HasSuspectUpdates reports whether there are updates to send to other routers at once.
+func (c *Core) HasSuspectUpdates() bool { return !c.ownUpdates.empty() }
 
-// TakeSuspectUpdates returns what other routers are to be told of ends since the last time: a
-// relay passes on what it heard.
+// TakeSuspectUpdates returns and clears the queued updates. A relay includes those that it
+// received.
 func (c *Core) TakeSuspectUpdates(now time.Duration, relay bool) []*wire.Suspects {
-	news := c.ownNews
+	updates := c.ownUpdates
 	if relay {
-		news.ends = append(news.ends, c.heardNews.ends...)
-		news.ran = append(news.ran, c.heardNews.ran...)
-		news.begun = append(news.begun, c.heardNews.begun...)
-		news.answers = append(news.answers, c.heardNews.answers...)
-		news.over = append(news.over, c.heardNews.over...)
+		updates.crashes = append(updates.crashes, c.relayUpdates.crashes...)
+		updates.completed = append(updates.completed, c.relayUpdates.completed...)
+		updates.started = append(updates.started, c.relayUpdates.started...)
+		updates.answered = append(updates.answered, c.relayUpdates.answered...)
+		updates.ended = append(updates.ended, c.relayUpdates.ended...)
 	}
-	c.ownNews, c.heardNews = suspectNews{}, suspectNews{}
+	c.ownUpdates, c.relayUpdates = suspectUpdates{}, suspectUpdates{}
 	var list []*wire.Suspects
-	for !news.empty() {
+	for !updates.empty() {
 		list = append(list, &wire.Suspects{
-			Ends: toTell(now, cutFrom(&news.ends)), Ran: cutFrom(&news.ran),
-			Begun: cutFrom(&news.begun), Answers: cutFrom(&news.answers), Over: cutFrom(&news.over),
+			Ends: crashMessages(now, takeChunk(&updates.crashes)), Ran: takeChunk(&updates.completed),
+			Begun: takeChunk(&updates.started), Answers: takeChunk(&updates.answered), Over: takeChunk(&updates.ended),
 		})
 	}
 	return list
 }
 
-// cutFrom takes from a list what one message holds.
-func cutFrom[T any](list *[]T) []T {
-	n := min(mostTold, len(*list))
-	cut := (*list)[:n]
+// takeChunk removes up to maxPerMessage items from a list and returns them.
+func takeChunk[T any](list *[]T) []T {
+	n := min(maxPerMessage, len(*list))
+	chunk := (*list)[:n]
 	*list = (*list)[n:]
-	return cut
+	return chunk
 }
 
-// WorstSuspects returns the worst of what is known of ends, for a router that has just been
-// heard or that may have missed something; nil if nothing is known.
+// WorstSuspects returns the crashes of the requests with the most crashes, nil if there are
+// none. It is for routers that are new or may have missed updates.
 func (c *Core) WorstSuspects(now time.Duration) *wire.Suspects {
-	worst := c.suspects.Worst(mostTold)
-	if len(worst) == 0 {
+	crashes := c.suspects.Worst(maxPerMessage)
+	if len(crashes) == 0 {
 		return nil
 	}
-	return &wire.Suspects{Ends: toTell(now, worst)}
+	return &wire.Suspects{Ends: crashMessages(now, crashes)}
 }
 
-func toTell(now time.Duration, ends []suspect.End) []wire.SuspectEnd {
-	list := make([]wire.SuspectEnd, 0, len(ends))
-	for _, e := range ends {
+func crashMessages(now time.Duration, crashes []suspect.End) []wire.SuspectEnd {
+	list := make([]wire.SuspectEnd, 0, len(crashes))
+	for _, e := range crashes {
 		list = append(list, wire.SuspectEnd{Digest: uint64(e.Digest), Server: wire.Key(e.Server), AgoMillis: (now - e.At).Milliseconds(), SentMillis: (e.At - e.Sent).Milliseconds(), Unanswered: e.Unanswered, More: e.More})
 	}
 	return list
 }
 
-// SuspectCount returns how many requests are remembered that were at an end.
+// SuspectCount returns the number of requests with recorded crashes.
 func (c *Core) SuspectCount() int { return c.suspects.Len() }
 
-// Suspects returns the ends of the requests under which the most servers ended.
+// Suspects returns the crashes of the requests with the most crashes.
 func (c *Core) Suspects(most int) []suspect.End { return c.suspects.Worst(most) }
--- a/pkg/admit/view.go
+++ b/pkg/admit/view.go
@@ -9,96 +9,96 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// TableUpdate replaces the table and the directory.
+// TableUpdate replaces the table, including the directory of backend servers.
 type TableUpdate struct{ Table *table.Table }
 
 func (e TableUpdate) apply(c *Core) {
 	c.generation++
-	relisted := c.takeRows(e.Table)
-	relisted = c.dropUnlisted() || relisted
-	c.dropWords()
+	changed := c.applyRows(e.Table)
+	changed = c.dropUnlisted() || changed
+	c.dropNotices()
 	for _, row := range e.Table.Services {
 		c.service(row.Name).engine = row.Engine
 	}
-	c.stated = e.Table.Bounds.TokensPerSecond
-	if c.weights != nil {
-		c.weights.setRows(e.Table.Accounts, c.now)
+	c.statedCapacity = e.Table.Bounds.TokensPerSecond
+	if c.weighted != nil {
+		c.weighted.setAccounts(e.Table.Accounts, c.now)
 	}
-	if relisted {
-		c.relist(e.Table)
+	if changed {
+		c.indexServers(e.Table)
 	}
-	c.assignNew()
-	c.serveOwned()
+	c.assignMissingOwners()
+	c.serveQueues()
 	c.advanceWaiting()
 }
 
-// takeRows takes in the rows of the backend servers and reports whether any is new or
-// serves something else.
-func (c *Core) takeRows(t *table.Table) bool {
-	relisted := false
+// applyRows updates the backend servers from the table, and reports whether any is new or
+// serves other models.
+func (c *Core) applyRows(t *table.Table) bool {
+	changed := false
 	for _, b := range t.Backends {
-		// A start of its own for all that is kept by key: a server that starts again
-		// holds and knows nothing of before.
-		key := keyOf(&b)
+		// The key differs for each incarnation, since a restarted server has no requests and no
+		// cached prefixes.
+		key := incarnationKey(&b)
 		s, known := c.servers[key]
 		if !known {
-			s = &server{key: key, joined: c.now, own: map[uint64]*request{}, word: c.words[key]}
+			s = &server{key: key, addedAt: c.now, requests: map[uint64]*request{}, notice: c.notices[key]}
 			c.servers[key] = s
 		}
 		if !known || s.generation != c.generation-1 || !slices.Equal(s.Models, b.Models) {
-			relisted = true
+			changed = true
 		}
 		if s.Zone != b.Zone {
 			s.owner = ""
 		}
 		s.Backend, s.generation, s.vanished = b, c.generation, false
-		if s.word != nil {
-			s.word.noteRow(b.Mark)
+		if s.notice != nil {
+			s.notice.applyMark(b.Mark)
 		}
-		s.closed = t.ZoneIsClosed(b.Zone)
+		s.zoneClosed = t.ZoneIsClosed(b.Zone)
 		s.setWarmup(t, c.now)
 	}
-	return relisted
+	return changed
 }
 
-// dropUnlisted drops the backend servers that the table does not list any more, but for
-// those where requests of this router run. It reports whether any was listed before.
+// dropUnlisted removes the backend servers that the table no longer lists, except those with
+// requests of this router in flight. It reports whether any of them was listed before.
 func (c *Core) dropUnlisted() bool {
-	relisted := false
+	changed := false
 	for key, s := range c.servers {
 		if s.generation == c.generation {
 			continue
 		}
-		c.noteVanished(s)
-		if len(s.own) > 0 {
-			relisted = relisted || s.generation == c.generation-1
+		c.recordVanished(s)
+		if len(s.requests) > 0 {
+			changed = changed || s.generation == c.generation-1
 			s.Mark = table.Leaving
 			continue
 		}
-		relisted = true
+		changed = true
 		delete(c.servers, key)
-		c.held = slices.DeleteFunc(c.held, func(h *server) bool { return h == s })
+		c.ownedServers = slices.DeleteFunc(c.ownedServers, func(h *server) bool { return h == s })
 	}
-	return relisted
+	return changed
 }
 
-// relist sorts the backend servers by name, and lists those of each service. At 3,000
-// this takes 1 ms, which a change of a single row need not cost.
-func (c *Core) relist(t *table.Table) {
-	for _, sv := range c.services {
-		sv.servers, sv.orders = nil, nil
+// indexServers rebuilds the sorted list of backend servers and the lists of each service. This
+// is too slow in large fleets for every change of a row.
+func (c *Core) indexServers(t *table.Table) {
+	for _, svc := range c.services {
+		svc.servers, svc.orders = nil, nil
 	}
 	for _, b := range t.Backends {
-		s := c.servers[keyOf(&b)]
+		s := c.servers[incarnationKey(&b)]
 		for _, m := range b.Models {
-			sv := c.service(m)
-			sv.servers = append(sv.servers, s)
+			svc := c.service(m)
+			svc.servers = append(svc.servers, s)
 		}
 	}
-	c.ordered = slices.SortedFunc(maps.Values(c.servers), byName)
+	c.sortedServers = slices.SortedFunc(maps.Values(c.servers), compareNames)
 }
 
-// keyOf returns the key of the start of a backend server that a row is of.
-func keyOf(b *table.Backend) wire.Key { return wire.KeyOf(b.Incarnation().String()) }
+// incarnationKey returns the key of a backend server's incarnation.
+func incarnationKey(b *table.Backend) wire.Key { return wire.KeyOf(b.Incarnation().String()) }
 
-func byName(a, b *server) int { return cmp.Compare(a.Name, b.Name) }
+func compareNames(a, b *server) int { return cmp.Compare(a.Name, b.Name) }
--- a/pkg/admit/weights.go
+++ b/pkg/admit/weights.go
@@ -13,96 +13,98 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// Where the table weighs accounts, and requests may wait until their deadlines, the account
-// goes first at an owner that had the least service for its weight, by what its requests have
-// used all over the fleet, not by what they are expected to. Each router counts that for each
-// service by itself, and is told what others have served.
+// If the table gives accounts weights, requests may wait until their deadlines, and an owner
+// serves the account with the least service relative to its weight first. Service is what the
+// requests of an account actually used in the whole fleet. Each router counts it per service,
+// and receives the counts of the other routers.
 
 const (
-	// priorityLead is how much later a request may come and still go before others of its
-	// account for each step of its priority. As it is finite, no priority starves another.
-	priorityLead = 2 * time.Second
-	// leastWindow is how many of an account's requests ask for places at a service from each
-	// router at least, where there are fewer backend servers: the others wait for their turn.
-	// One for each backend server keeps all of these busy.
-	leastWindow = 4
-	// moreAsksEvery is the time for which one more owner is asked for a request that asks.
-	moreAsksEvery = 250 * time.Millisecond
-	// askAgainAfter is when an owner that has a request in its queue is asked again, since
-	// it may have lost it.
-	askAgainAfter = 5 * time.Second
-	// untoldFor is how long an owner counts a place that it gave to another router as used
-	// by its account, until that router tells what it has served.
-	untoldFor = 250 * time.Millisecond
-	// askedFor is how long an account counts as waiting here after another router asked for a
-	// place for it: until then that router has told whether more of it waits.
-	askedFor = 25 * time.Millisecond
-	// firstCost is what a request counts as before any of its account has ended, in tokens.
-	firstCost = 100
+	// priorityStep is how much later a request may arrive for each step of its priority and
+	// still go before others of its account. It is finite so that low priorities are not
+	// starved.
+	priorityStep = 2 * time.Second
+	// minAskWindow is the least number of an account's requests for which a router asks for
+	// slots at a service at a time. It asks for one request per backend server if there are
+	// more of these, to keep all of them busy.
+	minAskWindow = 4
+	// extraAskInterval is the interval at which one more owner is asked for the same request.
+	extraAskInterval = 250 * time.Millisecond
+	// renewAskAfter is the time after which a queued slot request is repeated, since the owner
+	// may have lost it.
+	renewAskAfter = 5 * time.Second
+	// unreportedTTL is how long an owner charges an account for a slot granted to another
+	// router, until that router reports the usage.
+	unreportedTTL = 250 * time.Millisecond
+	// peerWaitingTTL is how long an account counts as waiting after another router asked for a
+	// slot for it. By then that router has reported whether more of its requests wait.
+	peerWaitingTTL = 25 * time.Millisecond
+	// defaultCost is the expected cost of a request before any request of its account has
+	// ended, in tokens.
+	defaultCost = 100
 )
 
-// errQueueFull is a refusal that has not run.
 var errQueueFull = verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "queue-full",
 	"too many requests of this client account wait here; come back later")
 
-// queueFullRetryAfter is when a caller whose account has too much waiting may return.
+// queueFullRetryAfter is the retry delay of requests refused because their account has too many
+// waiting.
 const queueFullRetryAfter = 2 * time.Second
 
-// useKey names an account's use of a service.
-type useKey struct{ service, account wire.Key }
+// usageKey identifies an account's usage of a service.
+type usageKey struct{ service, account wire.Key }
 
-// use of a service by an account, as this router knows it.
-type serviceUse struct {
-	// served is what this router's requests used since its start, in tokens.
+// accountUsage is an account's usage of a service as this router knows it.
+type accountUsage struct {
+	// served is the number of tokens used by this router's requests since it started.
 	served int64
-	// requests, running and waiting count this router's.
+	// requests, running and waiting count the requests of this router.
 	requests         int64
 	running, waiting int
-	// turns are those that wait, the first to go first.
-	turns []*request
-	// others is what each other source last told.
-	others map[reportSource]wire.AccountUse
-	// allServed and allRequests are what all routers together have served, as known here.
-	allServed, allRequests int64
-	// untold are places that this router gave to others as an owner, and when.
-	untold []time.Duration
-	// limit holds the account to its limits, nil if it has none.
-	limit *limiter
-	// askedAt is when another router last asked this one for a place for the account.
-	askedAt time.Duration
-}
-
-// weights is the service of accounts by their weights.
-type weights struct {
-	rows map[wire.Key]table.Account
-	// queues order the accounts of each service by their service.
+	// queue are the waiting requests of this router in order.
+	queue []*request
+	// peers is the last report of each other source.
+	peers map[reportSource]wire.AccountUse
+	// totalServed and totalRequests are sums over all routers.
+	totalServed, totalRequests int64
+	// unreported are the times of recent grants to other routers.
+	unreported []time.Duration
+	// limiter enforces the limits of the account, nil if it has none.
+	limiter *limiter
+	// peerWaitingAt is when another router last asked for a slot for the account.
+	peerWaitingAt time.Duration
+}
+
+// weightedScheduler schedules accounts by their weights.
+type weightedScheduler struct {
+	accounts map[wire.Key]table.Account
+	// queues order the accounts of each service by virtual time.
 	queues map[wire.Key]*fair.Queue
-	uses   map[useKey]*serviceUse
+	usages map[usageKey]*accountUsage
 }
 
-// WithWeightedAccounts has accounts served by their weights and held to their limits, as the table
-// says, and requests wait until their deadlines.
+// WithWeightedAccounts schedules accounts by the weights in the table and enforces their
+// limits. Requests wait until their deadlines.
 func WithWeightedAccounts() Option {
-	return func(o *options) { o.weights = true }
+	return func(o *options) { o.weighted = true }
 }
 
-func newWeights() *weights {
-	return &weights{rows: map[wire.Key]table.Account{}, queues: map[wire.Key]*fair.Queue{}, uses: map[useKey]*serviceUse{}}
+func newWeightedScheduler() *weightedScheduler {
+	return &weightedScheduler{accounts: map[wire.Key]table.Account{}, queues: map[wire.Key]*fair.Queue{}, usages: map[usageKey]*accountUsage{}}
 }
 
-// setRows replaces the accounts' rows.
-func (w *weights) setRows(accounts []table.Account, now time.Duration) {
-	w.rows = make(map[wire.Key]table.Account, len(accounts))
+// setAccounts replaces the account rows.
+func (w *weightedScheduler) setAccounts(accounts []table.Account, now time.Duration) {
+	w.accounts = make(map[wire.Key]table.Account, len(accounts))
 	for _, a := range accounts {
-		w.rows[wire.KeyOf(a.Name)] = a
+		w.accounts[wire.KeyOf(a.Name)] = a
 	}
-	for k, u := range w.uses {
-		w.queue(k.service).SetWeight(nameOf(k.account), w.rows[k.account].Weight)
-		u.limit = u.limit.renew(w.rows[k.account].Limits, now)
+	for k, u := range w.usages {
+		w.queue(k.service).SetWeight(queueName(k.account), w.accounts[k.account].Weight)
+		u.limiter = u.limiter.update(w.accounts[k.account].Limits, now)
 	}
 }
 
-func (w *weights) queue(service wire.Key) *fair.Queue {
+func (w *weightedScheduler) queue(service wire.Key) *fair.Queue {
 	q, ok := w.queues[service]
 	if !ok {
 		q = fair.New()
@@ -111,36 +113,36 @@
 	return q
 }
 
-// use returns an account's use of a service.
-func (w *weights) use(k useKey, now time.Duration) *serviceUse {
-	u, ok := w.uses[k]
+// usage returns an account's usage of a service.
+func (w *weightedScheduler) usage(k usageKey, now time.Duration) *accountUsage {
+	u, ok := w.usages[k]
 	if !ok {
-		row := w.rows[k.account]
-		u = &serviceUse{others: map[reportSource]wire.AccountUse{}, askedAt: -askedFor}
-		u.limit = u.limit.renew(row.Limits, now)
-		w.uses[k] = u
-		w.queue(k.service).SetWeight(nameOf(k.account), row.Weight)
+		row := w.accounts[k.account]
+		u = &accountUsage{peers: map[reportSource]wire.AccountUse{}, peerWaitingAt: -peerWaitingTTL}
+		u.limiter = u.limiter.update(row.Limits, now)
+		w.usages[k] = u
+		w.queue(k.service).SetWeight(queueName(k.account), row.Weight)
 	}
 	return u
 }
 
-// nameOf returns an account's name in a fair.Queue.
-func nameOf(account wire.Key) string { return strconv.FormatUint(uint64(account), 36) }
+// queueName returns the name of an account in a fair.Queue.
+func queueName(account wire.Key) string { return strconv.FormatUint(uint64(account), 36) }
 
-// charge counts what this router's requests used.
-func (w *weights) charge(k useKey, tokens int64, now time.Duration) {
-	u := w.use(k, now)
+// charge adds usage of this router's requests.
+func (w *weightedScheduler) charge(k usageKey, tokens int64, now time.Duration) {
+	u := w.usage(k, now)
 	u.served += tokens
-	u.allServed += tokens
-	u.limit.spend(float64(tokens), 0)
-	w.queue(k.service).Charge(nameOf(k.account), float64(tokens))
+	u.totalServed += tokens
+	u.limiter.spend(float64(tokens), 0)
+	w.queue(k.service).Charge(queueName(k.account), float64(tokens))
 }
 
-// refresh puts an account with waiting work among those that are to be served, or takes it
-// out. One that comes back starts level with the others: service that it did not wait for is
-// not owed.
-func (w *weights) refresh(k useKey, u *serviceUse, now time.Duration) {
-	q, name := w.queue(k.service), nameOf(k.account)
+// refreshActive updates whether an account counts as active in its queue. An account that
+// becomes active starts level with the others and gets no credit for the time without waiting
+// requests.
+func (w *weightedScheduler) refreshActive(k usageKey, u *accountUsage, now time.Duration) {
+	q, name := w.queue(k.service), queueName(k.account)
 	if u.isWaiting(now) {
 		q.Activate(name, true)
 		return
@@ -148,11 +150,11 @@
 	q.Deactivate(name)
 }
 
-func (u *serviceUse) isWaiting(now time.Duration) bool {
-	if u.waiting > 0 || now-u.askedAt < askedFor {
+func (u *accountUsage) isWaiting(now time.Duration) bool {
+	if u.waiting > 0 || now-u.peerWaitingAt < peerWaitingTTL {
 		return true
 	}
-	for _, x := range u.others {
+	for _, x := range u.peers {
 		if x.Waiting > 0 {
 			return true
 		}
@@ -160,110 +162,112 @@
 	return false
 }
 
-// asked notes that another router has work of an account waiting.
-func (w *weights) asked(k useKey, now time.Duration) {
-	u := w.use(k, now)
-	w.refresh(k, u, now)
-	u.askedAt = now
-	w.refresh(k, u, now)
+// notePeerWaiting records that requests of an account wait at another router.
+func (w *weightedScheduler) notePeerWaiting(k usageKey, now time.Duration) {
+	u := w.usage(k, now)
+	w.refreshActive(k, u, now)
+	u.peerWaitingAt = now
+	w.refreshActive(k, u, now)
 }
 
-// cost is what a request of the account most likely uses, in tokens.
-func (u *serviceUse) cost() int64 {
-	if u.allRequests == 0 {
-		return firstCost
+// expectedCost returns the average usage of the account's requests, in tokens.
+func (u *accountUsage) expectedCost() int64 {
+	if u.totalRequests == 0 {
+		return defaultCost
 	}
-	return max(1, u.allServed/u.allRequests)
+	return max(1, u.totalServed/u.totalRequests)
 }
 
-// lag is how much service an account has had for its weight, with what it is about to use of
-// the places that this router has just given to others.
-func (w *weights) lag(k useKey, now time.Duration) float64 {
-	u := w.use(k, now)
-	for len(u.untold) > 0 && now-u.untold[0] >= untoldFor {
-		u.untold = u.untold[1:]
+// virtualTime returns the service of an account relative to its weight, including the expected
+// usage of recent grants to other routers.
+func (w *weightedScheduler) virtualTime(k usageKey, now time.Duration) float64 {
+	u := w.usage(k, now)
+	for len(u.unreported) > 0 && now-u.unreported[0] >= unreportedTTL {
+		u.unreported = u.unreported[1:]
 	}
-	a := w.queue(k.service).Get(nameOf(k.account))
-	return a.VirtualTime + float64(int64(len(u.untold))*u.cost())/a.Weight
+	a := w.queue(k.service).Get(queueName(k.account))
+	return a.VirtualTime + float64(int64(len(u.unreported))*u.expectedCost())/a.Weight
 }
 
-// told takes in what another source tells of what it has served.
-func (w *weights) told(from reportSource, uses []wire.AccountUse, now time.Duration) {
-	listed := make(map[useKey]bool, len(uses))
-	for _, x := range uses {
-		k := useKey{x.Service, x.Account}
+// applyReport applies the usage reported by another source.
+func (w *weightedScheduler) applyReport(source reportSource, reported []wire.AccountUse, now time.Duration) {
+	listed := make(map[usageKey]bool, len(reported))
+	for _, x := range reported {
+		k := usageKey{x.Service, x.Account}
 		listed[k] = true
-		u := w.use(k, now)
-		before, known := u.others[from]
-		u.others[from] = x
+		u := w.usage(k, now)
+		before, known := u.peers[source]
+		u.peers[source] = x
 		if known && x.Requests >= before.Requests {
-			w.learn(k, u, x.Served-before.Served, x.Requests-before.Requests)
+			w.addPeerUsage(k, u, x.Served-before.Served, x.Requests-before.Requests)
 		}
-		w.refresh(k, u, now)
+		w.refreshActive(k, u, now)
 	}
-	for k, u := range w.uses {
-		if _, known := u.others[from]; known && !listed[k] {
-			delete(u.others, from)
-			w.refresh(k, u, now)
+	for k, u := range w.usages {
+		if _, known := u.peers[source]; known && !listed[k] {
+			delete(u.peers, source)
+			w.refreshActive(k, u, now)
 		}
 	}
 }
 
-func (w *weights) learn(k useKey, u *serviceUse, served, requests int64) {
-	u.allServed += served
-	u.allRequests += requests
-	u.limit.spend(float64(served), float64(requests))
-	w.queue(k.service).Charge(nameOf(k.account), float64(served))
+func (w *weightedScheduler) addPeerUsage(k usageKey, u *accountUsage, served, requests int64) {
+	u.totalServed += served
+	u.totalRequests += requests
+	u.limiter.spend(float64(served), float64(requests))
+	w.queue(k.service).Charge(queueName(k.account), float64(served))
 }
 
-// forget drops what a source told that is silent or gone.
-func (w *weights) forget(from reportSource, now time.Duration) {
-	for k, u := range w.uses {
-		if _, known := u.others[from]; known {
-			delete(u.others, from)
-			w.refresh(k, u, now)
+// dropSource removes the report of a source that is silent or gone.
+func (w *weightedScheduler) dropSource(source reportSource, now time.Duration) {
+	for k, u := range w.usages {
+		if _, known := u.peers[source]; known {
+			delete(u.peers, source)
+			w.refreshActive(k, u, now)
 		}
 	}
 }
 
-// keyOfUse returns what a request uses.
-func (r *request) use() useKey { return useKey{wire.KeyOf(r.Service), r.account} }
+// usageKey returns the key of the usage to which the request counts.
+func (r *request) usageKey() usageKey { return usageKey{wire.KeyOf(r.Service), r.account} }
 
-// enqueue takes in a request that is to wait, and returns why it is refused if too many do.
-func (w *weights) enqueue(r *request, now time.Duration) *verdict.Error {
-	row, ok := w.rows[r.account]
-	u := w.use(r.use(), now)
-	if ok && !r.Retry && row.Limits.Queued > 0 && w.waitingOf(r.account) >= row.Limits.Queued {
+// enqueue adds a waiting request. It returns a refusal if too many requests of the account
+// wait.
+func (w *weightedScheduler) enqueue(r *request, now time.Duration) *verdict.Error {
+	row, ok := w.accounts[r.account]
+	u := w.usage(r.usageKey(), now)
+	if ok && !r.Retry && row.Limits.Queued > 0 && w.waitingCount(r.account) >= row.Limits.Queued {
 		return errQueueFull.After(queueFullRetryAfter)
 	}
 	u.waiting++
-	r.turn = r.arrived - time.Duration(r.Priority)*priorityLead
-	at, _ := slices.BinarySearchFunc(u.turns, r, byTurn)
-	u.turns = slices.Insert(u.turns, at, r)
-	w.refresh(r.use(), u, now)
+	r.position = r.arrivedAt - time.Duration(r.Priority)*priorityStep
+	at, _ := slices.BinarySearchFunc(u.queue, r, compareQueued)
+	u.queue = slices.Insert(u.queue, at, r)
+	w.refreshActive(r.usageKey(), u, now)
 	return nil
 }
 
-// byTurn orders an account's requests; one that may have run goes first.
-func byTurn(a, b *request) int {
-	return cmp.Or(compareFirst(a.MayHaveRun, b.MayHaveRun), cmp.Compare(a.turn, b.turn), cmp.Compare(a.ID, b.ID))
+// compareQueued orders the requests of an account. Those that may have run go first.
+func compareQueued(a, b *request) int {
+	return cmp.Or(trueFirst(a.MayHaveRun, b.MayHaveRun), cmp.Compare(a.position, b.position), cmp.Compare(a.ID, b.ID))
 }
 
-// mayAsk reports whether it is a request's turn to ask for places.
+// mayAsk reports whether a request may ask for slots, because it is among the first of its
+// account.
 func (c *Core) mayAsk(r *request) bool {
-	if c.weights == nil || len(r.asks) > 0 {
+	if c.weighted == nil || len(r.asks) > 0 {
 		return true
 	}
-	u := c.weights.use(r.use(), c.now)
-	window := max(leastWindow, len(c.service(r.Service).servers))
-	at, _ := slices.BinarySearchFunc(u.turns, r, byTurn)
+	u := c.weighted.usage(r.usageKey(), c.now)
+	window := max(minAskWindow, len(c.service(r.Service).servers))
+	at, _ := slices.BinarySearchFunc(u.queue, r, compareQueued)
 	return at < window
 }
 
-// waitingOf returns how many of an account's requests wait here.
-func (w *weights) waitingOf(account wire.Key) int {
+// waitingCount returns the number of an account's requests that wait at this router.
+func (w *weightedScheduler) waitingCount(account wire.Key) int {
 	n := 0
-	for k, u := range w.uses {
+	for k, u := range w.usages {
 		if k.account == account {
 			n += u.waiting
 		}
@@ -271,87 +275,86 @@
 	return n
 }
 
-// leave takes a request out of those that wait.
-func (w *weights) leave(r *request, now time.Duration) {
-	u := w.use(r.use(), now)
+// dequeue removes a waiting request.
+func (w *weightedScheduler) dequeue(r *request, now time.Duration) {
+	u := w.usage(r.usageKey(), now)
 	u.waiting--
-	if at, ok := slices.BinarySearchFunc(u.turns, r, byTurn); ok {
-		u.turns = slices.Delete(u.turns, at, at+1)
+	if at, ok := slices.BinarySearchFunc(u.queue, r, compareQueued); ok {
+		u.queue = slices.Delete(u.queue, at, at+1)
 	}
-	w.refresh(r.use(), u, now)
+	w.refreshActive(r.usageKey(), u, now)
 }
 
-// begin counts a request that is sent.
-func (w *weights) begin(r *request, now time.Duration) {
-	u := w.use(r.use(), now)
+// recordStart charges the expected cost of a request that starts.
+func (w *weightedScheduler) recordStart(r *request, now time.Duration) {
+	u := w.usage(r.usageKey(), now)
 	u.running++
-	r.charged = u.cost()
+	r.charged = u.expectedCost()
 	if !r.Retry {
 		u.requests++
-		u.allRequests++
-		u.limit.spend(0, 1)
+		u.totalRequests++
+		u.limiter.spend(0, 1)
 	}
-	w.charge(r.use(), r.charged, now)
-	w.refresh(r.use(), u, now)
+	w.charge(r.usageKey(), r.charged, now)
+	w.refreshActive(r.usageKey(), u, now)
 }
 
-// progress counts what a request has used beyond what it is counted as.
-func (w *weights) progress(r *request, tokens int64, now time.Duration) {
+// recordProgress charges what a running request has used beyond its charge so far.
+func (w *weightedScheduler) recordProgress(r *request, tokens int64, now time.Duration) {
 	if more := tokens - r.charged; more > 0 {
 		r.charged = tokens
-		w.charge(r.use(), more, now)
+		w.charge(r.usageKey(), more, now)
 	}
 }
 
-// finish counts what a request has used.
-func (w *weights) finish(r *request, tokens int64, now time.Duration) {
-	u := w.use(r.use(), now)
+// recordEnd corrects the charge of a request to what it has used.
+func (w *weightedScheduler) recordEnd(r *request, tokens int64, now time.Duration) {
+	u := w.usage(r.usageKey(), now)
 	u.running--
-	w.charge(r.use(), tokens-r.charged, now)
+	w.charge(r.usageKey(), tokens-r.charged, now)
 	r.charged = tokens
 }
 
-// Progress is what a request that runs has used so far.
+// Progress reports the tokens that a running request has used so far.
 type Progress struct {
 	ID     uint64
 	Tokens int64
 }
 
 func (e Progress) apply(c *Core) {
-	if r, ok := c.requests[e.ID]; ok && r.at != nil && c.weights != nil {
-		c.weights.progress(r, e.Tokens, c.now)
+	if r, ok := c.requests[e.ID]; ok && r.server != nil && c.weighted != nil {
+		c.weighted.recordProgress(r, e.Tokens, c.now)
 	}
 }
 
-// compareLag orders what waits at an owner by the service that accounts had for their
-// weights.
-func (c *Core) compareLag(s *server, a, b *asking) int {
+// compareVirtualTime orders queued slot requests by the virtual time of their accounts.
+func (c *Core) compareVirtualTime(s *server, a, b *slotRequest) int {
 	if a.Account == b.Account {
 		return cmp.Compare(a.due, b.due)
 	}
 	service := wire.KeyOf(c.serviceOf(s).name)
 	return cmp.Or(
-		cmp.Compare(c.weights.lag(useKey{service, a.Account}, c.now), c.weights.lag(useKey{service, b.Account}, c.now)),
+		cmp.Compare(c.weighted.virtualTime(usageKey{service, a.Account}, c.now), c.weighted.virtualTime(usageKey{service, b.Account}, c.now)),
 		cmp.Compare(a.due, b.due),
 	)
 }
 
-// noteGiven counts a place that this router gave to another as its owner.
-func (w *weights) noteGiven(k useKey, now time.Duration) {
-	u := w.use(k, now)
-	u.untold = append(u.untold, now)
+// recordGrant records a grant to another router.
+func (w *weightedScheduler) recordGrant(k usageKey, now time.Duration) {
+	u := w.usage(k, now)
+	u.unreported = append(u.unreported, now)
 }
 
-// Uses returns what this router tells a receiver of what accounts have used, for a scope.
+// Uses returns the account usage of a scope for a receiver.
 func (t *Snapshot) Uses(scope wire.Scope, receiver string) []wire.AccountUse {
-	if t.core.weights == nil {
+	if t.core.weighted == nil {
 		return nil
 	}
 	var list []wire.AccountUse
-	for k, u := range t.core.weights.uses {
+	for k, u := range t.core.weighted.usages {
 		x := wire.AccountUse{Service: k.service, Account: k.account, Served: u.served, Requests: u.requests, Running: u.running, Waiting: u.waiting}
-		for from, o := range u.others {
-			if t.core.passesOn(from, scope, receiver) {
+		for source, o := range u.peers {
+			if t.core.includesSource(source, scope, receiver) {
 				x.Served += o.Served
 				x.Requests += o.Requests
 				x.Running += o.Running
@@ -365,19 +368,20 @@
 	return list
 }
 
-// passesOn reports whether what a source told is part of what a receiver is told for a scope.
-func (c *Core) passesOn(from reportSource, scope wire.Scope, receiver string) bool {
+// includesSource reports whether a source's report is part of what is sent to a receiver for a
+// scope.
+func (c *Core) includesSource(source reportSource, scope wire.Scope, receiver string) bool {
 	switch scope {
 	case wire.ScopeZone:
-		return from.scope == wire.ScopeOwn
+		return source.scope == wire.ScopeOwn
 	case wire.ScopeRest:
-		return from.scope == wire.ScopeOwn && from.name != receiver || from.scope == wire.ScopeZone && from.name != c.opt.self.Zone
+		return source.scope == wire.ScopeOwn && source.name != receiver || source.scope == wire.ScopeZone && source.name != c.opt.self.Zone
 	default:
 		return false
 	}
 }
 
-// PeerUsage is what another router tells of what accounts have used.
+// PeerUsage is another router's report of account usage.
 type PeerUsage struct {
 	From string
 	// Zone is the sender's zone.
@@ -386,15 +390,15 @@
 }
 
 func (e PeerUsage) apply(c *Core) {
-	if c.weights == nil || e.Msg.Scope == wire.ScopeNone {
+	if c.weighted == nil || e.Msg.Scope == wire.ScopeNone {
 		return
 	}
-	from := sourceOf(e.Msg.Scope, e.From, e.Zone)
-	c.weights.told(from, e.Msg.Accounts, c.now)
-	c.serveOwned()
+	source := sourceOf(e.Msg.Scope, e.From, e.Zone)
+	c.weighted.applyReport(source, e.Msg.Accounts, c.now)
+	c.serveQueues()
 }
 
-// sourceOf returns whose sums a telling of a scope are.
+// sourceOf returns the source of a report.
 func sourceOf(scope wire.Scope, from, zone string) reportSource {
 	s := reportSource{scope: scope}
 	switch scope {
--- a/pkg/admit/word.go
+++ b/pkg/admit/word.go
@@ -10,59 +10,58 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// A backend server says in its answers that it leaves, or for how long it wants no
-// request from the router that it answers. That is obeyed whatever the directory says,
-// which may be away or late: with the directory away for 13 s, 144 requests reached a
-// server in the ten seconds after it had said that it leaves.
-
-// word is what a start of a backend server says of itself. It is kept beside the server,
-// whose entry may lapse and come back.
-type word struct {
-	// leaving says that it leaves, marked that the directory has said so since.
-	leaving, marked bool
-	// restUntil is until when it wants no request from this router.
-	restUntil time.Duration
-	// unlisted is since when the directory does not list it, 0 while it does.
-	unlisted time.Duration
-}
-
-// wordKept is for how long the word of a start is kept that the directory does not list:
-// far longer than entries lapse while the directory is away and come back.
-const wordKept = time.Minute
-
-// errResting is a refusal that has not run.
-var errResting = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "servers-rest",
+// A backend server may announce in its responses that it is leaving, or ask the router for a
+// backoff during which it wants no requests. Routers follow this regardless of the directory,
+// which may be late or unavailable.
+
+// notice is what an incarnation of a backend server announced. It is kept separately from the
+// server, whose directory entry may disappear and return.
+type notice struct {
+	// leaving says that it announced that it is leaving, markedLeaving that the directory has
+	// shown it as leaving since.
+	leaving, markedLeaving bool
+	// backoffUntil is until when it wants no requests from this router.
+	backoffUntil time.Duration
+	// unlistedSince is since when the directory does not list it, 0 while it does.
+	unlistedSince time.Duration
+}
+
+// noticeTTL is how long the notice of an unlisted incarnation is kept. Entries that disappear
+// with the directory return much sooner.
+const noticeTTL = time.Minute
+
+var errBackoff = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "servers-rest",
 	"all backend servers of the service want no requests for a while; come back as told")
 
-// BackendNotice is what the backend server of a request says of itself in its answer.
+// BackendNotice reports what a backend server announced in its response to a request.
 type BackendNotice struct {
-	// ID is the request's.
+	// ID is the ID of the request.
 	ID uint64
-	// Leaving says that it leaves.
+	// Leaving says that the backend server is leaving.
 	Leaving bool
-	// Backoff is for how long it wants no request from this router, 0 if it does not say.
+	// Backoff is how long it wants no requests from this router, 0 if unset.
 	Backoff time.Duration
 }
 
 func (e BackendNotice) apply(c *Core) {
 	r, ok := c.requests[e.ID]
-	if !ok || r.at == nil {
+	if !ok || r.server == nil {
 		return
 	}
-	s := r.at
-	if e.Leaving && c.learnLeaving(s, "") {
+	s := r.server
+	if e.Leaving && c.markLeaving(s, "") {
 		c.send(s.owner, &wire.Leaving{Servers: []wire.Key{s.key}})
 	}
 	if e.Backoff > 0 {
-		c.learnRest(s, e.Backoff)
+		c.applyBackoff(s, e.Backoff)
 	}
 }
 
-// NoticeReceived is an action: what this router has begun to believe of a backend server by the
-// server's own word.
+// NoticeReceived is an action: a backend server's announcement changed its state at this
+// router.
 type NoticeReceived struct {
 	Backend string
-	// From is the router that told of it, "" if the server said it in an answer.
+	// From is the router that reported it, "" if it came in a response.
 	From    string
 	Leaving bool
 	Backoff time.Duration
@@ -70,59 +69,64 @@
 
 func (NoticeReceived) action() {}
 
-// toldLeaving takes in which backend servers another router knows to leave.
-func (c *Core) toldLeaving(from string, m *wire.Leaving) {
+// handleLeaving applies another router's list of backend servers that announced that they are
+// leaving.
+func (c *Core) handleLeaving(from string, m *wire.Leaving) {
 	for _, key := range m.Servers {
 		if s, ok := c.servers[key]; ok {
-			c.learnLeaving(s, from)
+			c.markLeaving(s, from)
 		}
 	}
 }
 
-// learnLeaving has a backend server get nothing new, and reports whether that is news.
-func (c *Core) learnLeaving(s *server, from string) bool {
-	w := c.wordOf(s)
-	if w.leaving {
+// markLeaving stops new requests to a backend server, and reports whether it was not marked
+// before.
+func (c *Core) markLeaving(s *server, from string) bool {
+	n := c.noticeOf(s)
+	if n.leaving {
 		return false
 	}
-	w.leaving = true
-	c.act(NoticeReceived{Backend: s.Name, From: from, Leaving: true})
-	c.turnAway(s)
+	n.leaving = true
+	c.emit(NoticeReceived{Backend: s.Name, From: from, Leaving: true})
+	c.rerouteWaiting(s)
 	return true
 }
 
-// learnRest has a backend server get nothing from this router for a while.
-func (c *Core) learnRest(s *server, rest time.Duration) {
-	w := c.wordOf(s)
-	if !s.rests(c.now) {
-		c.act(NoticeReceived{Backend: s.Name, Backoff: rest})
+// applyBackoff stops this router's requests to a backend server for a time.
+func (c *Core) applyBackoff(s *server, backoff time.Duration) {
+	n := c.noticeOf(s)
+	if !s.isBackingOff(c.now) {
+		c.emit(NoticeReceived{Backend: s.Name, Backoff: backoff})
 	}
-	w.restUntil = max(w.restUntil, c.now+rest)
-	c.turnAway(s)
+	n.backoffUntil = max(n.backoffUntil, c.now+backoff)
+	c.rerouteWaiting(s)
 }
 
-func (c *Core) wordOf(s *server) *word {
-	if s.word == nil {
-		s.word = &word{}
-		c.words[s.key] = s.word
+func (c *Core) noticeOf(s *server) *notice {
+	if s.notice == nil {
+		s.notice = &notice{}
+		c.notices[s.key] = s.notice
 	}
-	return s.word
+	return s.notice
 }
 
-// rests reports whether a backend server wants no request from this router now.
-func (s *server) rests(now time.Duration) bool { return s.word != nil && now < s.word.restUntil }
+// isBackingOff reports whether a backend server wants no requests from this router now.
+func (s *server) isBackingOff(now time.Duration) bool {
+	return s.notice != nil && now < s.notice.backoffUntil
+}
 
-// saysLeaving reports whether a backend server leaves by its own word.
-func (s *server) saysLeaving() bool { return s.word != nil && s.word.leaving }
+// announcedLeaving reports whether a backend server announced that it is leaving.
+func (s *server) announcedLeaving() bool { return s.notice != nil && s.notice.leaving }
 
-// takes reports whether this router may send a backend server a request now.
-func (c *Core) takes(s *server) bool { return s.open() && !s.rests(c.now) }
+// accepts reports whether this router may send a request to a backend server now.
+func (c *Core) accepts(s *server) bool { return s.isOpen() && !s.isBackingOff(c.now) }
 
-// turnAway has requests that wait for a place at a backend server look for another one.
-func (c *Core) turnAway(s *server) {
+// rerouteWaiting cancels the slot requests at a backend server, so that the waiting requests
+// ask elsewhere.
+func (c *Core) rerouteWaiting(s *server) {
 	for _, r := range slices.Clone(c.waiting) {
 		a := r.askOf(s.key)
-		if a == nil || r.at != nil || !a.waits() {
+		if a == nil || r.server != nil || !a.isOpen() {
 			continue
 		}
 		a.state = askDenied
@@ -134,88 +138,89 @@
 	}
 }
 
-// tellLeaving tells a router that asked for a place why it gets none, if by the backend
-// server's own word.
-func (c *Core) tellLeaving(s *server, to string) {
-	if s.saysLeaving() && to != c.opt.self.Address {
+// notifyLeaving tells a router whose slot request is denied that the backend server announced
+// that it is leaving.
+func (c *Core) notifyLeaving(s *server, to string) {
+	if s.announcedLeaving() && to != c.opt.self.Address {
 		c.send(to, &wire.Leaving{Servers: []wire.Key{s.key}})
 	}
 }
 
-// restEnds returns when the first of a service's backend servers takes requests again,
-// if all that take requests otherwise rest.
-func (c *Core) restEnds(sv *service) (time.Duration, bool) {
-	soonest := time.Duration(0)
-	for _, s := range sv.servers {
-		if !c.reaches(s) {
+// backoffEnd returns when the first of a service's backend servers accepts requests again. It
+// returns false unless all reachable ones are backing off.
+func (c *Core) backoffEnd(svc *service) (time.Duration, bool) {
+	earliest := time.Duration(0)
+	for _, s := range svc.servers {
+		if !c.isReachable(s) {
 			continue
 		}
-		if !s.rests(c.now) {
+		if !s.isBackingOff(c.now) {
 			return 0, false
 		}
-		if soonest == 0 || s.word.restUntil < soonest {
-			soonest = s.word.restUntil
+		if earliest == 0 || s.notice.backoffUntil < earliest {
+			earliest = s.notice.backoffUntil
 		}
 	}
-	return soonest, soonest > 0
+	return earliest, earliest > 0
 }
 
-// restSpread is the part of a rest by which callers come back later than it ends, drawn
-// by chance, so that they do not come together.
-const restSpread = 0.25
+// backoffJitter is the maximum random addition to a retry delay, relative to the backoff, so
+// that clients do not retry at the same time.
+const backoffJitter = 0.25
 
-// restRefusal is why a request is refused while all rest, nil if it is not: one that may
-// have run waits if it can be sent before its deadline.
-func (c *Core) restRefusal(r *request) *verdict.Error {
-	ends, all := c.restEnds(c.service(r.Service))
-	if !all || r.MayHaveRun && ends < r.Deadline {
+// backoffRefusal returns the refusal of a request while all backend servers are backing off,
+// nil if there is none. A request that may have run waits instead if the backoff ends before
+// its deadline.
+func (c *Core) backoffRefusal(r *request) *verdict.Error {
+	end, all := c.backoffEnd(c.service(r.Service))
+	if !all || r.MayHaveRun && end < r.Deadline {
 		return nil
 	}
-	left := ends - c.now
-	spread := max(minRetryAfter, time.Duration(restSpread*float64(left)))
-	return errResting.After(left + time.Duration(c.rng.Int64N(int64(spread))))
+	left := end - c.now
+	jitter := max(minRetryAfter, time.Duration(backoffJitter*float64(left)))
+	return errBackoff.After(left + time.Duration(c.rng.Int64N(int64(jitter))))
 }
 
-// noteRow takes in what the directory says of a start beside its own word. A start that
-// the directory has shown as leaving and then as serving again has taken its word back.
-func (w *word) noteRow(mark table.Mark) {
-	w.unlisted = 0
+// applyMark updates the notice from the directory. An incarnation that the directory showed as
+// leaving and then as serving again is no longer leaving.
+func (n *notice) applyMark(mark table.Mark) {
+	n.unlistedSince = 0
 	switch {
 	case mark != table.Serving:
-		w.marked = w.leaving
-	case w.marked:
-		w.leaving, w.marked = false, false
+		n.markedLeaving = n.leaving
+	case n.markedLeaving:
+		n.leaving, n.markedLeaving = false, false
 	}
 }
 
-// dropWords drops what starts said that have not been listed for long.
-func (c *Core) dropWords() {
-	for key, w := range c.words {
+// dropNotices removes the notices of incarnations that have not been listed for noticeTTL.
+func (c *Core) dropNotices() {
+	for key, n := range c.notices {
 		s, ok := c.servers[key]
 		switch {
 		case ok && s.generation == c.generation:
-		case w.unlisted == 0:
-			w.unlisted = c.now
-		case c.now-w.unlisted >= wordKept && c.now >= w.restUntil:
-			delete(c.words, key)
+		case n.unlistedSince == 0:
+			n.unlistedSince = c.now
+		case c.now-n.unlistedSince >= noticeTTL && c.now >= n.backoffUntil:
+			delete(c.notices, key)
 		}
 	}
 }
 
-// Notices are the backend servers that leave, and those that rest with how long they do
-// still, by their own word.
-func (c *Core) Notices() (leaving []string, resting map[string]time.Duration) {
-	resting = map[string]time.Duration{}
-	for _, s := range c.ordered {
-		if s.word == nil || s.generation != c.generation {
+// Notices returns the names of the backend servers that announced that they are leaving, and
+// the remaining backoff of those that are backing off.
+func (c *Core) Notices() (leaving []string, backingOff map[string]time.Duration) {
+	backingOff = map[string]time.Duration{}
+	for _, s := range c.sortedServers {
+		if s.notice == nil || s.generation != c.generation {
 			continue
 		}
-		if s.word.leaving {
+		if s.notice.leaving {
 			leaving = append(leaving, s.Name)
 		}
-		if s.rests(c.now) {
-			resting[s.Name] = s.word.restUntil - c.now
+		if s.isBackingOff(c.now) {
+			backingOff[s.Name] = s.notice.backoffUntil - c.now
 		}
 	}
-	return leaving, resting
+	return leaving, backingOff
 }
