--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -30,10 +30,10 @@
 // Source is the platform as a router reads it.
 type Source interface {
 	// Read reads everything as it is now.
-	Read(ctx context.Context) (catalog.News, error)
+	Read(ctx context.Context) (catalog.Update, error)
 	// Watch waits for changes after a revision. Its error is
-	// catalog.ErrForgotten if the platform does not remember them.
-	Watch(ctx context.Context, after catalog.Revision, wait time.Duration) (catalog.News, error)
+	// catalog.ErrCompacted if the platform does not remember them.
+	Watch(ctx context.Context, after catalog.Revision, wait time.Duration) (catalog.Update, error)
 	// Revision returns the platform's revision as it is now.
 	Revision(ctx context.Context) (catalog.Revision, error)
 }
@@ -134,11 +134,11 @@
 
 // Forwarder hands callers' connections on to other routers.
 type Forwarder interface {
-	// SetNeighbours replaces the routers that take some, KeepOnly ends what is under
+	// SetPeers replaces the routers that take some, EndStreamsExcept ends what is under
 	// way with all that do not live, Lost with one.
-	SetNeighbours(list []forward.Neighbour)
-	KeepOnly(live map[string]bool)
-	Lost(address string)
+	SetPeers(list []forward.Peer)
+	EndStreamsExcept(live map[string]bool)
+	EndStreams(address string)
 }
 
 // WithForwarder sets who is told of the other routers to which connections may be handed.
--- a/pkg/admit/alive.go
+++ b/pkg/admit/alive.go
@@ -35,7 +35,7 @@
 	s.answeredAt = c.now
 	if c.opt.uniqueIncarnations && s.Born == 0 {
 		s.alive = interval{to: max(s.alive.to, sent)}
-		c.suspects.Lives(suspect.Server(s.key), s.alive.from, s.alive.to)
+		c.suspects.MarkAlive(suspect.Server(s.key), s.alive.from, s.alive.to)
 	}
 	alive := interval{from: sent + aliveMargin, to: c.now - aliveMargin - delayFactor*c.delay}
 	if sent < c.pause.to {
@@ -49,5 +49,5 @@
 		alive = interval{from: min(alive.from, s.alive.from), to: max(alive.to, s.alive.to)}
 	}
 	s.alive = alive
-	c.suspects.Lives(suspect.Server(s.key), alive.from, alive.to)
+	c.suspects.MarkAlive(suspect.Server(s.key), alive.from, alive.to)
 }
--- a/pkg/admit/caution.go
+++ b/pkg/admit/caution.go
@@ -52,13 +52,13 @@
 // isolation returns the level that a request requires. After a single crash it needs none if an
 // attempt of it has begun to respond, which shows that it does not crash every backend server.
 func (c *Core) isolation(r *request) isolation {
-	standing := c.suspects.Standing(c.now, r.Digest)
+	standing := c.suspects.Status(c.now, r.Digest)
 	switch {
-	case standing.Ends == 0:
+	case standing.Crashes == 0:
 		return notIsolated
-	case standing.Ends > 1:
+	case standing.Crashes > 1:
 		return exclusive
-	case r.Resuming || c.answeredAt[r.Digest] > standing.Last:
+	case r.Resuming || c.answeredAt[r.Digest] > standing.LastCrash:
 		return notIsolated
 	default:
 		return oneAtATime
@@ -68,8 +68,8 @@
 // crashRefusal returns the refusal of a request under which too many backend servers crashed,
 // nil if it may be sent.
 func (c *Core) crashRefusal(r *request) *verdict.Error {
-	if standing := c.suspects.Standing(c.now, r.Digest); standing.Barred(c.now) {
-		return errCrashes.After(standing.Until - c.now)
+	if standing := c.suspects.Status(c.now, r.Digest); standing.Blocked(c.now) {
+		return errCrashes.WithRetryAfter(standing.BlockedUntil - c.now)
 	}
 	return nil
 }
@@ -154,7 +154,7 @@
 		}
 	}
 	for d := range c.answeredAt {
-		if c.suspects.Standing(c.now, d).Ends == 0 {
+		if c.suspects.Status(c.now, d).Crashes == 0 {
 			delete(c.answeredAt, d)
 		}
 	}
--- a/pkg/admit/core.go
+++ b/pkg/admit/core.go
@@ -89,7 +89,7 @@
 	requests      map[uint64]*request
 	// suspects are the requests that were in flight at backend servers that crashed. ownUpdates
 	// and relayUpdates are changes to send to other routers.
-	suspects                 *suspect.Table
+	suspects                 *suspect.Tracker
 	ownUpdates, relayUpdates suspectUpdates
 	// trials are the running attempts of suspect requests that have not begun to respond.
 	trials map[suspect.Digest]trial
--- a/pkg/admit/request.go
+++ b/pkg/admit/request.go
@@ -203,7 +203,7 @@
 func (c *Core) recordOutcome(r *request, e AttemptEnd) {
 	switch {
 	case e.Disconnected:
-		c.recordCrash(r.server, suspect.End{Digest: e.Digest, At: c.now, Sent: r.startedAt, Unanswered: r.unread > 0})
+		c.recordCrash(r.server, suspect.Crash{Digest: e.Digest, At: c.now, Sent: r.startedAt, Unanswered: r.unread > 0})
 	case e.Result == Answered || e.Result == Failed || e.Result == Refused:
 		c.confirmAlive(r.server, r.startedAt)
 	case e.Result == Stalled || e.Result == Unknown:
@@ -279,7 +279,7 @@
 	c.drop(r)
 	a := Refuse{ID: r.ID, Err: err, Waited: c.now - r.arrivedAt}
 	if err.Code == codeCrashes || err.Code == codeOnTrial {
-		a.Crashes = c.suspects.Standing(c.now, r.Digest).Ends
+		a.Crashes = c.suspects.Status(c.now, r.Digest).Crashes
 	}
 	c.emit(a)
 }
--- a/pkg/admit/seek.go
+++ b/pkg/admit/seek.go
@@ -140,9 +140,9 @@
 	switch {
 	case !r.MayHaveRun && r.MaxWait > 0 && c.now-r.arrivedAt >= c.maxWait(r):
 		if c.waitsForTrial(r) {
-			return errOnTrial.After(trialRetryAfter + c.retryAfter())
+			return errOnTrial.WithRetryAfter(trialRetryAfter + c.retryAfter())
 		}
-		return errBusy.After(c.retryAfter())
+		return errBusy.WithRetryAfter(c.retryAfter())
 	default:
 		return nil
 	}
@@ -174,9 +174,9 @@
 // requests.
 func (c *Core) noServerError(service string) *verdict.Error {
 	if slices.ContainsFunc(c.service(service).servers, func(s *server) bool { return s.zoneClosed }) {
-		return errZoneClosed.After(retryAfterClosed)
+		return errZoneClosed.WithRetryAfter(retryAfterClosed)
 	}
-	return errNoServer.After(retryAfterNoServer)
+	return errNoServer.WithRetryAfter(retryAfterNoServer)
 }
 
 // maxWait returns how long a request may wait here. While a reply may have arrived without
--- a/pkg/admit/silence.go
+++ b/pkg/admit/silence.go
@@ -55,7 +55,7 @@
 	}
 	for _, x := range s.stalls {
 		if c.now-x.stalledAt < stallTTL && s.answeredAt < x.sentAt {
-			c.recordCrash(s, suspect.End{Digest: x.digest, At: x.stalledAt, Sent: x.sentAt})
+			c.recordCrash(s, suspect.Crash{Digest: x.digest, At: x.stalledAt, Sent: x.sentAt})
 		}
 	}
 	s.stalls = nil
--- a/pkg/admit/suspects.go
+++ b/pkg/admit/suspects.go
@@ -33,25 +33,25 @@
 
 // emitCleared emits an action for each request whose crashes were removed.
 func (c *Core) emitCleared() {
-	for _, x := range c.suspects.Cleared() {
+	for _, x := range c.suspects.DrainCleared() {
 		c.emit(SuspectCleared{x})
 	}
 }
 
 // recordCrash records that a backend server crashed while a request of this router was in
 // flight there.
-func (c *Core) recordCrash(s *server, e suspect.End) {
+func (c *Core) recordCrash(s *server, e suspect.Crash) {
 	e.Server = suspect.Server(s.key)
-	if c.suspects.Note(c.now, e) {
-		c.emit(SuspectAdded{Digest: e.Digest, Backend: s.Name, Crashes: c.suspects.Standing(c.now, e.Digest).Ends})
-		e.More = c.suspects.MoreOf(e.Digest)
+	if c.suspects.Record(c.now, e) {
+		c.emit(SuspectAdded{Digest: e.Digest, Backend: s.Name, Crashes: c.suspects.Status(c.now, e.Digest).Crashes})
+		e.Extra = c.suspects.ExtraAllowed(e.Digest)
 		appendBounded(&c.ownUpdates.crashes, e)
 	}
 }
 
 // suspectUpdates are changes to send to other routers.
 type suspectUpdates struct {
-	crashes   []suspect.End
+	crashes   []suspect.Crash
 	completed []uint64
 	// started, answered and ended are suspect requests of which an attempt started, began to
 	// respond, or ended without a response.
@@ -71,7 +71,7 @@
 
 // markCompleted records that a request completed.
 func (c *Core) markCompleted(d suspect.Digest) {
-	if c.suspects.Ran(c.now, d) {
+	if c.suspects.MarkCompleted(c.now, d) {
 		appendBounded(&c.ownUpdates.completed, uint64(d))
 	}
 }
@@ -83,7 +83,7 @@
 		c.applyCrash(from, x)
 	}
 	for _, d := range m.Ran[:min(maxPerMessage, len(m.Ran))] {
-		if c.suspects.Ran(c.now, suspect.Digest(d)) {
+		if c.suspects.MarkCompleted(c.now, suspect.Digest(d)) {
 			appendBounded(&c.relayUpdates.completed, d)
 		}
 	}
@@ -95,9 +95,9 @@
 		return
 	}
 	at := c.now - time.Duration(x.AgoMillis)*time.Millisecond
-	e := suspect.End{
+	e := suspect.Crash{
 		Digest: suspect.Digest(x.Digest), Server: suspect.Server(x.Server), At: at, Sent: at - time.Duration(x.SentMillis)*time.Millisecond,
-		Unanswered: x.Unanswered, More: x.More,
+		Unanswered: x.Unanswered, Extra: x.More,
 	}
 	name := ""
 	if s, ok := c.servers[x.Server]; ok {
@@ -106,15 +106,15 @@
 			return
 		}
 	}
-	if c.suspects.Note(c.now, e) {
-		c.emit(SuspectAdded{Digest: e.Digest, Backend: name, Crashes: c.suspects.Standing(c.now, e.Digest).Ends, From: from})
+	if c.suspects.Record(c.now, e) {
+		c.emit(SuspectAdded{Digest: e.Digest, Backend: name, Crashes: c.suspects.Status(c.now, e.Digest).Crashes, From: from})
 		appendBounded(&c.relayUpdates.crashes, e)
 	}
 }
 
 // isValidAge reports whether an age in a message is within the time for which crashes are kept.
 func isValidAge(millis int64) bool {
-	return millis >= 0 && millis <= suspect.LongestKept.Milliseconds()
+	return millis >= 0 && millis <= suspect.MaxRetention.Milliseconds()
 }
 
 // HasSuspectUpdates reports whether there are updates to send to other routers at once.
@@ -153,17 +153,17 @@
 // WorstSuspects returns the crashes of the requests with the most crashes, nil if there are
 // none. It is for routers that are new or may have missed updates.
 func (c *Core) WorstSuspects(now time.Duration) *wire.Suspects {
-	crashes := c.suspects.Worst(maxPerMessage)
+	crashes := c.suspects.TopCrashes(maxPerMessage)
 	if len(crashes) == 0 {
 		return nil
 	}
 	return &wire.Suspects{Ends: crashMessages(now, crashes)}
 }
 
-func crashMessages(now time.Duration, crashes []suspect.End) []wire.SuspectEnd {
+func crashMessages(now time.Duration, crashes []suspect.Crash) []wire.SuspectEnd {
 	list := make([]wire.SuspectEnd, 0, len(crashes))
 	for _, e := range crashes {
-		list = append(list, wire.SuspectEnd{Digest: uint64(e.Digest), Server: wire.Key(e.Server), AgoMillis: (now - e.At).Milliseconds(), SentMillis: (e.At - e.Sent).Milliseconds(), Unanswered: e.Unanswered, More: e.More})
+		list = append(list, wire.SuspectEnd{Digest: uint64(e.Digest), Server: wire.Key(e.Server), AgoMillis: (now - e.At).Milliseconds(), SentMillis: (e.At - e.Sent).Milliseconds(), Unanswered: e.Unanswered, More: e.Extra})
 	}
 	return list
 }
@@ -172,4 +172,4 @@
 func (c *Core) SuspectCount() int { return c.suspects.Len() }
 
 // Suspects returns the crashes of the requests with the most crashes.
-func (c *Core) Suspects(most int) []suspect.End { return c.suspects.Worst(most) }
+func (c *Core) Suspects(most int) []suspect.Crash { return c.suspects.TopCrashes(most) }
--- a/pkg/admit/weights.go
+++ b/pkg/admit/weights.go
@@ -237,7 +237,7 @@
 	row, ok := w.accounts[r.account]
 	u := w.usage(r.usageKey(), now)
 	if ok && !r.Retry && row.Limits.Queued > 0 && w.waitingCount(r.account) >= row.Limits.Queued {
-		return errQueueFull.After(queueFullRetryAfter)
+		return errQueueFull.WithRetryAfter(queueFullRetryAfter)
 	}
 	u.waiting++
 	r.position = r.arrivedAt - time.Duration(r.Priority)*priorityStep
--- a/pkg/admit/word.go
+++ b/pkg/admit/word.go
@@ -178,7 +178,7 @@
 	}
 	left := end - c.now
 	jitter := max(minRetryAfter, time.Duration(backoffJitter*float64(left)))
-	return errBackoff.After(left + time.Duration(c.rng.Int64N(int64(jitter))))
+	return errBackoff.WithRetryAfter(left + time.Duration(c.rng.Int64N(int64(jitter))))
 }
 
 // applyMark updates the notice from the directory. An incarnation that the directory showed as
