--- a/pkg/admit/admit_test.go
+++ b/pkg/admit/admit_test.go
@@ -16,8 +16,8 @@
 
 var zones = []string{"x", "y", "z"}
 
-// flood has every router get requests of an account at a rate, for a time.
-func (w *world) flood(account string, perSecond float64, routers []string, r admit.Request, until time.Duration) {
+// addLoad sends requests of an account to random routers at a mean rate until a time.
+func (w *world) addLoad(account string, perSecond float64, routers []string, r admit.Request, until time.Duration) {
 	gap := time.Duration(float64(time.Second) / perSecond)
 	var next func()
 	next = func() {
@@ -25,25 +25,25 @@
 			return
 		}
 		r.Account = account
-		w.ask(routers[w.rng.IntN(len(routers))], r)
-		w.at(time.Duration(w.rng.ExpFloat64()*float64(gap)), next)
+		w.submit(routers[w.rng.IntN(len(routers))], r)
+		w.schedule(time.Duration(w.rng.ExpFloat64()*float64(gap)), next)
 	}
-	w.at(0, next)
+	w.schedule(0, next)
 }
 
-// servers returns how often requests were sent to each backend server.
-func (w *world) servers() map[string]int {
-	servers := map[string]int{}
+// startsByServer returns how many requests were sent to each backend server.
+func (w *world) startsByServer() map[string]int {
+	counts := map[string]int{}
 	for _, s := range w.starts {
-		servers[s.Backend.Name]++
+		counts[s.Backend.Name]++
 	}
-	return servers
+	return counts
 }
 
-// reads returns the backend servers that had to read a prompt's shared parts:
-// they were sent it without having it or a copy.
-func (w *world) reads() []string {
-	order := slices.SortedFunc(maps.Values(w.starts), func(a, b startOf) int { return cmp.Compare(a.ID, b.ID) })
+// prefixReads returns the backend servers that had to read the shared prefix, because they got
+// the prompt without having the prefix or copying it.
+func (w *world) prefixReads() []string {
+	order := slices.SortedFunc(maps.Values(w.starts), func(a, b startRecord) int { return cmp.Compare(a.ID, b.ID) })
 	sent := map[string]bool{}
 	var reads []string
 	for _, s := range order {
@@ -55,45 +55,45 @@
 	return reads
 }
 
-// TestOnePromptOneServer asks for a prompt at all routers, one request at a time:
-// the fleet has it at one backend server.
-func TestOnePromptOneServer(t *testing.T) {
+// TestRarePromptStaysOnOneServer: requests for the same prompt, one at a time at all routers,
+// must go to one backend server.
+func TestRarePromptStaysOnOneServer(t *testing.T) {
 	w := newWorld(1, 3, zones, 4)
 	for i := range 30 {
-		w.at(time.Duration(i)*100*time.Millisecond, func() {
-			w.ask(w.order[i%len(w.order)], admit.Request{Prefix: 77, Prompt: 3000, Shared: 2000, Output: 100})
+		w.schedule(time.Duration(i)*100*time.Millisecond, func() {
+			w.submit(w.order[i%len(w.order)], admit.Request{Prefix: 77, Prompt: 3000, Shared: 2000, Output: 100})
 		})
 	}
 	w.run(5 * time.Second)
-	if len(w.starts) != 30 || len(w.servers()) != 1 {
-		t.Errorf("%d requests started, at %v", len(w.starts), w.servers())
+	if len(w.starts) != 30 || len(w.startsByServer()) != 1 {
+		t.Errorf("%d requests started at %v, want 30 at one backend server", len(w.starts), w.startsByServer())
 	}
 }
 
-// TestHotPromptSpreads asks so often for one prompt that one backend server
-// cannot serve it: several do, of which few had to read its shared parts.
-func TestHotPromptSpreads(t *testing.T) {
+// TestFrequentPromptSpreads: a prompt that is too frequent for one backend server must spread
+// over several, few of which read its shared prefix.
+func TestFrequentPromptSpreads(t *testing.T) {
 	w := newWorld(1, 3, zones, 4)
-	w.flood("moka", 120, w.order, admit.Request{Prefix: 77, Prompt: 3000, Shared: 1000, Output: 100}, 4*time.Second)
+	w.addLoad("moka", 120, w.order, admit.Request{Prefix: 77, Prompt: 3000, Shared: 1000, Output: 100}, 4*time.Second)
 	w.run(6 * time.Second)
-	if served := float64(len(w.starts)) / float64(len(w.asked)); served < 0.9 {
-		t.Errorf("only %.2f of the requests started, at %v", served, w.servers())
+	if served := float64(len(w.starts)) / float64(len(w.requests)); served < 0.9 {
+		t.Errorf("only %.2f of the requests started, at %v", served, w.startsByServer())
 	}
-	if len(w.servers()) < 3 {
-		t.Errorf("the prompt is kept at %v", w.servers())
+	if len(w.startsByServer()) < 3 {
+		t.Errorf("the prompt was read only at %v", w.startsByServer())
 	}
-	if reads := w.reads(); len(reads) > len(zones) {
-		t.Errorf("the prompt's shared parts were read at %v", reads)
+	if reads := w.prefixReads(); len(reads) > len(zones) {
+		t.Errorf("the shared prefix was read at %v, want at most one per zone", reads)
 	}
 }
 
-// TestFirstEventsComeInTime overloads the engines threefold: what is started
-// answers in time, the rest is refused soon.
-func TestFirstEventsComeInTime(t *testing.T) {
+// TestFirstEventsMeetTarget: under threefold overload, requests that start must meet their
+// targets, and the others must be refused soon.
+func TestFirstEventsMeetTarget(t *testing.T) {
 	w := newWorld(1, 3, zones, 2)
-	w.hold = 50 * time.Millisecond
+	w.streamTime = 50 * time.Millisecond
 	for i := range 6 {
-		w.flood(fmt.Sprintf("account-%d", i), 60, w.order, admit.Request{Prompt: 5000, Output: 50}, 5*time.Second)
+		w.addLoad(fmt.Sprintf("account-%d", i), 60, w.order, admit.Request{Prompt: 5000, Output: 50}, 5*time.Second)
 	}
 	w.run(8 * time.Second)
 	late := 0
@@ -102,12 +102,12 @@
 			late++
 		}
 	}
-	if part := float64(late) / float64(len(w.starts)); part > 0.05 {
-		t.Errorf("%.3f of %d first events were late", part, len(w.starts))
+	if fraction := float64(late) / float64(len(w.starts)); fraction > 0.05 {
+		t.Errorf("%.3f of %d first events missed the target", fraction, len(w.starts))
 	}
-	// Six engines read 100,000 tokens a second each, in 5 s 600 prompts.
+	// Six engines read 600 prompts in 5 s, at 100,000 tokens per second each.
 	if len(w.starts) < 420 {
-		t.Errorf("only %d requests were started", len(w.starts))
+		t.Errorf("only %d requests started", len(w.starts))
 	}
 	for id, waited := range w.refusals {
 		if waited > 130*time.Millisecond {
@@ -116,83 +116,83 @@
 	}
 }
 
-// TestSharesAreEven floods from accounts of which some ask ten times as much,
-// or reach the fleet by one router only.
+// TestSharesAreEven: under overload, accounts must get even shares even if some send ten times
+// as many requests or use a single router.
 func TestSharesAreEven(t *testing.T) {
 	tests := map[string]struct {
 		rates   []float64
 		routers func(w *world, i int) []string
 	}{
-		"all alike":                {[]float64{40, 40, 40, 40}, func(w *world, _ int) []string { return w.order }},
-		"one asks ten times":       {[]float64{300, 30, 30, 30}, func(w *world, _ int) []string { return w.order }},
-		"one comes by one router":  {[]float64{60, 60, 60, 60}, func(w *world, i int) []string { return w.order[:len(w.order)-8*boolInt(i == 0)] }},
-		"all come by their own":    {[]float64{60, 60, 60, 60}, func(w *world, i int) []string { return w.order[i : i+1] }},
-		"several ask ten times":    {[]float64{300, 300, 30, 30}, func(w *world, _ int) []string { return w.order }},
-		"one asks less than share": {[]float64{60, 60, 60, 8}, func(w *world, _ int) []string { return w.order }},
+		"same rate":                             {[]float64{40, 40, 40, 40}, func(w *world, _ int) []string { return w.order }},
+		"one account sends ten times as many":   {[]float64{300, 30, 30, 30}, func(w *world, _ int) []string { return w.order }},
+		"one account uses one router":           {[]float64{60, 60, 60, 60}, func(w *world, i int) []string { return w.order[:len(w.order)-8*boolToInt(i == 0)] }},
+		"each account uses its own router":      {[]float64{60, 60, 60, 60}, func(w *world, i int) []string { return w.order[i : i+1] }},
+		"two accounts send ten times as many":   {[]float64{300, 300, 30, 30}, func(w *world, _ int) []string { return w.order }},
+		"one account sends less than its share": {[]float64{60, 60, 60, 8}, func(w *world, _ int) []string { return w.order }},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(1, 3, zones, 2)
-			w.hold = 50 * time.Millisecond
+			w.streamTime = 50 * time.Millisecond
 			for i, rate := range tc.rates {
-				w.flood(fmt.Sprintf("account-%d", i), rate, tc.routers(w, i), admit.Request{Prompt: 5000, Output: 50}, 8*time.Second)
+				w.addLoad(fmt.Sprintf("account-%d", i), rate, tc.routers(w, i), admit.Request{Prompt: 5000, Output: 50}, 8*time.Second)
 			}
 			w.run(10 * time.Second)
-			served, asked := make([]float64, len(tc.rates)), make([]float64, len(tc.rates))
-			for id, a := range w.asked {
+			served, sent := make([]float64, len(tc.rates)), make([]float64, len(tc.rates))
+			for id, a := range w.requests {
 				if a.at < 2*time.Second {
 					continue
 				}
 				var i int
 				_, _ = fmt.Sscanf(a.request.Account, "account-%d", &i)
-				asked[i]++
+				sent[i]++
 				if _, ok := w.starts[id]; ok {
 					served[i]++
 				}
 			}
 			best := slices.Max(served)
 			for i := range served {
-				if due := min(asked[i], best); served[i] < 0.6*due {
-					t.Errorf("account %d asked for %v and got %v; the best got %v", i, asked[i], served[i], best)
+				if expected := min(sent[i], best); served[i] < 0.6*expected {
+					t.Errorf("account %d sent %v requests, of which %v started; the best got %v", i, sent[i], served[i], best)
 				}
 			}
 		})
 	}
 }
 
-func boolInt(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// TestDecidesWithoutOwners kills, cuts off or loses messages of routers, and
-// looks whether requests at the others are decided soon.
-func TestDecidesWithoutOwners(t *testing.T) {
+// TestDecidesWithoutOwner: requests must be decided in time when owners are killed or isolated,
+// or messages are lost.
+func TestDecidesWithoutOwner(t *testing.T) {
 	tests := map[string]func(w *world){
-		"an owner is killed, noticed late": func(w *world) { w.kill("x-0", 500*time.Millisecond) },
-		"all but one are killed": func(w *world) {
+		"owner killed, detected late": func(w *world) { w.kill("x-0", 500*time.Millisecond) },
+		"all but one killed": func(w *world) {
 			for _, r := range w.order[1:] {
 				w.kill(r, 500*time.Millisecond)
 			}
 		},
-		"one is cut off from all": func(w *world) {
+		"one router isolated": func(w *world) {
 			for _, r := range w.order[1:] {
-				w.cut[[2]string{w.order[0], r}] = true
-				w.cut[[2]string{r, w.order[0]}] = true
+				w.blocked[[2]string{w.order[0], r}] = true
+				w.blocked[[2]string{r, w.order[0]}] = true
 			}
 		},
-		"messages get lost": func(w *world) { w.loss = 0.3 },
+		"message loss": func(w *world) { w.loss = 0.3 },
 	}
-	for name, fault := range tests {
+	for name, inject := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(2, 3, zones, 4)
-			w.flood("moka", 60, w.order, admit.Request{Prompt: 1500, Output: 50, Prefix: 5}, 4*time.Second)
-			w.at(time.Second, func() { fault(w) })
+			w.addLoad("moka", 60, w.order, admit.Request{Prompt: 1500, Output: 50, Prefix: 5}, 4*time.Second)
+			w.schedule(time.Second, func() { inject(w) })
 			w.run(6 * time.Second)
 			started := 0
-			for id, a := range w.asked {
+			for id, a := range w.requests {
 				if w.down[a.router] {
 					continue
 				}
@@ -203,22 +203,22 @@
 					started++
 				}
 				if !ok && !refused || waited > 130*time.Millisecond {
-					t.Fatalf("request %d of %v was decided after %v (started %v, refused %v)", id, a.at, waited, ok, refused)
+					t.Fatalf("request %d, sent at %v, waited %v (started %v, refused %v)", id, a.at, waited, ok, refused)
 				}
 			}
-			if part := float64(started) / float64(len(w.asked)); name != "all but one are killed" && part < 0.8 {
-				t.Errorf("%.2f of the requests were started", part)
+			if fraction := float64(started) / float64(len(w.requests)); name != "all but one killed" && fraction < 0.8 {
+				t.Errorf("only %.2f of the requests started", fraction)
 			}
 		})
 	}
 }
 
-// TestLeavingServers looks that nothing is sent to a backend server that
-// leaves, not even what waited for it.
-func TestLeavingServers(t *testing.T) {
+// TestLeavingServerGetsNoRequests: a leaving backend server must get no requests, not even
+// those that waited for it.
+func TestLeavingServerGetsNoRequests(t *testing.T) {
 	w := newWorld(3, 2, zones, 1)
-	w.flood("moka", 200, w.order, admit.Request{Prompt: 4000, Output: 50, Prefix: 5, Shared: 1000}, 3*time.Second)
-	w.at(time.Second, func() {
+	w.addLoad("moka", 200, w.order, admit.Request{Prompt: 4000, Output: 50, Prefix: 5, Shared: 1000}, 3*time.Second)
+	w.schedule(time.Second, func() {
 		v := &table.Table{Revision: 2, Services: []table.ServiceRow{{Name: service, Engine: true}}}
 		for name := range w.engines {
 			b := table.Backend{Name: name, Zone: zoneOf(name[:len(name)-1] + "0"), Address: name, Models: []string{service}, Slots: 16, Mark: table.Serving}
@@ -238,40 +238,40 @@
 		}
 	}
 	if len(w.starts) == 0 {
-		t.Error("nothing was started")
+		t.Error("no request started")
 	}
 }
 
-// TestRandomFaults draws floods and faults: every request at a router that
-// lives is decided in time, and at the end no owner counts what has ended.
+// TestRandomFaults: under random load and faults, live routers must decide every request in
+// time, and no owner may count requests that have ended.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), 2, zones, 2)
-		w.hold = time.Duration(rapid.IntRange(10, 800).Draw(t, "hold")) * time.Millisecond
+		w.streamTime = time.Duration(rapid.IntRange(10, 800).Draw(t, "hold")) * time.Millisecond
 		for i := range rapid.IntRange(1, 4).Draw(t, "accounts") {
 			r := admit.Request{
 				Prompt: int64(rapid.IntRange(100, 9000).Draw(t, "prompt")), Output: 50,
 				Prefix: uint64(rapid.IntRange(0, 3).Draw(t, "prefix")), Shared: 90,
 			}
-			w.flood(fmt.Sprint("account-", i), float64(rapid.IntRange(5, 120).Draw(t, "rate")), w.order, r, 3*time.Second)
+			w.addLoad(fmt.Sprint("account-", i), float64(rapid.IntRange(5, 120).Draw(t, "rate")), w.order, r, 3*time.Second)
 		}
 		for range rapid.IntRange(0, 2).Draw(t, "faults") {
 			victim := rapid.SampledFrom(w.order).Draw(t, "victim")
 			at := time.Duration(rapid.IntRange(0, 2500).Draw(t, "at")) * time.Millisecond
 			switch rapid.IntRange(0, 2).Draw(t, "fault") {
 			case 0:
-				w.at(at, func() { w.kill(victim, 300*time.Millisecond) })
+				w.schedule(at, func() { w.kill(victim, 300*time.Millisecond) })
 			case 1:
-				w.at(at, func() { w.loss = 0.2 })
-				w.at(at+time.Second, func() { w.loss = 0 })
+				w.schedule(at, func() { w.loss = 0.2 })
+				w.schedule(at+time.Second, func() { w.loss = 0 })
 			case 2:
 				other := rapid.SampledFrom(w.order).Draw(t, "other")
-				w.at(at, func() { w.cut[[2]string{victim, other}] = true })
-				w.at(at+time.Second, func() { delete(w.cut, [2]string{victim, other}) })
+				w.schedule(at, func() { w.blocked[[2]string{victim, other}] = true })
+				w.schedule(at+time.Second, func() { delete(w.blocked, [2]string{victim, other}) })
 			}
 		}
 		w.run(10 * time.Second)
-		for id, a := range w.asked {
+		for id, a := range w.requests {
 			_, started := w.starts[id]
 			waited, refused := w.refusals[id]
 			if !w.down[a.router] && (!started && !refused || started && refused || waited > 130*time.Millisecond) {
@@ -280,11 +280,11 @@
 		}
 		for _, name := range w.order {
 			if n := w.cores[name].Waiting(); n > 0 && !w.down[name] {
-				t.Fatalf("%d requests wait at %s for ever", n, name)
+				t.Fatalf("%d requests still wait at %s", n, name)
 			}
 			for server, n := range w.cores[name].RunningByBackend() {
 				if !w.down[name] && n > 0 {
-					t.Fatalf("%s counts %d requests at %s that have ended", name, n, server)
+					t.Fatalf("%s counts %d requests at %s, all of which have ended", name, n, server)
 				}
 			}
 		}
--- a/pkg/admit/alive_test.go
+++ b/pkg/admit/alive_test.go
@@ -9,29 +9,27 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// TestAnswersThatShowThatAServerLives tells a router that a server ended under a request, and
-// has that server answer another one: that takes the end back only if the server must have
-// lived on.
-func TestAnswersThatShowThatAServerLives(t *testing.T) {
+// TestResponseDisprovesCrash: a response must remove a reported crash only if the backend
+// server must have been alive at that time.
+func TestResponseDisprovesCrash(t *testing.T) {
 	const ms = time.Millisecond
 	tests := map[string]struct {
-		// sent, ended and answered are when; pause is a time before the answer during which
-		// the router stood still.
-		sent, ended, answered, pause time.Duration
-		// late is how much later than the answer the router is told of the end.
-		late time.Duration
-		want int
-		// unique says that names of starts are.
+		// pause is the length of a pause of the router that ends with the response.
+		sentAt, crashedAt, answeredAt, pause time.Duration
+		// reportDelay is the time from the response until the crash is reported.
+		reportDelay time.Duration
+		want        int
+		// unique says that each incarnation has its own name.
 		unique bool
 	}{
-		"sent before and answered after": {0, 2000 * ms, 4000 * ms, 0, 0, 0, false},
-		"the same, told later":           {0, 2000 * ms, 4000 * ms, 0, 2000 * ms, 0, false},
-		"sent after":                     {3000 * ms, 2000 * ms, 5000 * ms, 0, 0, 1, false},
-		"sent after, to a unique start":  {3000 * ms, 2000 * ms, 5000 * ms, 0, 0, 0, true},
-		"answered before":                {0, 2000 * ms, 1500 * ms, 0, 0, 1, false},
-		"answered a moment after":        {0, 2000 * ms, 2200 * ms, 0, 0, 1, false},
-		"sent a moment before":           {1900 * ms, 2000 * ms, 4000 * ms, 0, 0, 1, false},
-		"heard after a pause":            {0, 2000 * ms, 6000 * ms, 5000 * ms, 0, 1, false},
+		"sent before, response after":                       {0, 2000 * ms, 4000 * ms, 0, 0, 0, false},
+		"sent before, response after, crash reported later": {0, 2000 * ms, 4000 * ms, 0, 2000 * ms, 0, false},
+		"sent after":                      {3000 * ms, 2000 * ms, 5000 * ms, 0, 0, 1, false},
+		"sent after, unique incarnations": {3000 * ms, 2000 * ms, 5000 * ms, 0, 0, 0, true},
+		"response before":                 {0, 2000 * ms, 1500 * ms, 0, 0, 1, false},
+		"response just after":             {0, 2000 * ms, 2200 * ms, 0, 0, 1, false},
+		"sent just before":                {1900 * ms, 2000 * ms, 4000 * ms, 0, 0, 1, false},
+		"response after a pause":          {0, 2000 * ms, 6000 * ms, 5000 * ms, 0, 1, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -46,26 +44,26 @@
 			key := wire.KeyOf(b.Incarnation().String())
 			c.Step(now, admit.TableUpdate{Table: &table.Table{Revision: 1, Backends: []table.Backend{b}}})
 			steps := map[time.Duration]func(){
-				tc.sent: func() {
+				tc.sentAt: func() {
 					c.Step(now, admit.Arrive{Request: admit.Request{ID: 1, Service: service, Deadline: now + time.Minute}})
 				},
-				tc.answered: func() { c.Step(now, admit.AttemptEnd{ID: 1, Result: admit.Answered}) },
+				tc.answeredAt: func() { c.Step(now, admit.AttemptEnd{ID: 1, Result: admit.Answered}) },
 			}
 			for at := time.Duration(0); at < 8*time.Second; at += 10 * ms {
 				now = start + at
 				if do, ok := steps[at]; ok {
 					do()
 				}
-				if at >= tc.answered || at < tc.answered-tc.pause {
+				if at >= tc.answeredAt || at < tc.answeredAt-tc.pause {
 					c.Step(now, admit.Tick{})
 				}
-				if at == max(tc.ended, tc.answered)+tc.late-10*ms {
-					ago := (at - tc.ended).Milliseconds()
+				if at == max(tc.crashedAt, tc.answeredAt)+tc.reportDelay-10*ms {
+					ago := (at - tc.crashedAt).Milliseconds()
 					c.Step(now, admit.Message{From: "other", Msg: &wire.Suspects{Ends: []wire.SuspectEnd{{Digest: 7, Server: key, AgoMillis: max(0, ago)}}}})
 				}
 			}
 			if got := c.SuspectCount(); got != tc.want {
-				t.Errorf("%d requests are remembered, want %d", got, tc.want)
+				t.Errorf("%d requests have recorded crashes, want %d", got, tc.want)
 			}
 		})
 	}
--- a/pkg/admit/bench_test.go
+++ b/pkg/admit/bench_test.go
@@ -9,15 +9,14 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// The size of the benchmarked fleet: zones, routers and backend servers of each.
+// Size of the fleet: zones, and routers and backend servers of each zone.
 const (
 	benchZones   = 5
 	benchRouters = 59
 	benchServers = 32
 )
 
-// largeCore returns one router's core in a fleet of 295 routers before 160
-// backend servers.
+// largeCore returns the core of a router in a fleet of 295 routers and 160 backend servers.
 func largeCore() *admit.Core {
 	t := &table.Table{Revision: 1, Services: []table.ServiceRow{{Name: service, Engine: true}}}
 	var routers []admit.Router
@@ -44,7 +43,7 @@
 	}
 }
 
-// BenchmarkArrive takes in a request, which asks an owner, and cancels it.
+// BenchmarkArrive measures a new request, which asks an owner for a slot, and its cancellation.
 func BenchmarkArrive(b *testing.B) {
 	c := largeCore()
 	id := uint64(0)
@@ -55,7 +54,7 @@
 	}
 }
 
-// BenchmarkTick lets time pass while 50 requests wait whose owners do not answer.
+// BenchmarkTick measures a tick while 50 requests wait for owners that do not reply.
 func BenchmarkTick(b *testing.B) {
 	c := largeCore()
 	now := 2 * time.Second
--- a/pkg/admit/caution.go
+++ b/pkg/admit/caution.go
@@ -52,13 +52,13 @@
 // isolation returns the level that a request requires. After a single crash it needs none if an
 // attempt of it has begun to respond, which shows that it does not crash every backend server.
 func (c *Core) isolation(r *request) isolation {
-	standing := c.suspects.Status(c.now, r.Digest)
+	status := c.suspects.Status(c.now, r.Digest)
 	switch {
-	case standing.Crashes == 0:
+	case status.Crashes == 0:
 		return notIsolated
-	case standing.Crashes > 1:
+	case status.Crashes > 1:
 		return exclusive
-	case r.Resuming || c.answeredAt[r.Digest] > standing.LastCrash:
+	case r.Resuming || c.answeredAt[r.Digest] > status.LastCrash:
 		return notIsolated
 	default:
 		return oneAtATime
@@ -68,8 +68,8 @@
 // crashRefusal returns the refusal of a request under which too many backend servers crashed,
 // nil if it may be sent.
 func (c *Core) crashRefusal(r *request) *verdict.Error {
-	if standing := c.suspects.Status(c.now, r.Digest); standing.Blocked(c.now) {
-		return errCrashes.WithRetryAfter(standing.BlockedUntil - c.now)
+	if status := c.suspects.Status(c.now, r.Digest); status.Blocked(c.now) {
+		return errCrashes.WithRetryAfter(status.BlockedUntil - c.now)
 	}
 	return nil
 }
--- a/pkg/admit/caution_test.go
+++ b/pkg/admit/caution_test.go
@@ -10,102 +10,102 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// harmless has requests of their own come to all routers, of which callers whose request
-// was cut off come back.
-func (w *world) harmless(until time.Duration) {
+// addHarmless sends distinct requests to random routers. Clients retry those that were
+// disconnected.
+func (w *world) addHarmless(until time.Duration) {
 	w.every(4*time.Millisecond, func() {
 		if w.now >= until {
 			return
 		}
 		n := w.nextID + 1
-		w.ask(w.order[w.rng.IntN(len(w.order))], admit.Request{
+		w.submit(w.order[w.rng.IntN(len(w.order))], admit.Request{
 			Prefix: 1 + w.rng.Uint64N(40), Prompt: 900, Shared: 300, Output: 20, Digest: suspect.Digest(1_000_000 + n),
 		})
 	})
 }
 
-// deadly has the callers of a request try it again and again, at any router.
-func (w *world) deadly(d suspect.Digest, from, until, gap time.Duration) {
-	w.at(from, func() {
+// addCrashing sends the same request to random routers at regular intervals.
+func (w *world) addCrashing(d suspect.Digest, from, until, gap time.Duration) {
+	w.schedule(from, func() {
 		w.every(gap, func() {
 			if w.now < until {
-				w.ask(w.order[w.rng.IntN(len(w.order))], admit.Request{Prefix: 7, Prompt: 900, Shared: 300, Output: 20, Digest: d})
+				w.submit(w.order[w.rng.IntN(len(w.order))], admit.Request{Prefix: 7, Prompt: 900, Shared: 300, Output: 20, Digest: d})
 			}
 		})
 	})
 }
 
-// TestDeadlyRequestEndsThreeServers has requests end their servers, in fleets that lose
-// routers and messages meanwhile.
-func TestDeadlyRequestEndsThreeServers(t *testing.T) {
+// TestCrashingRequestIsBlocked: a request that crashes its backend servers must be blocked
+// after three crashes, and no other request may be blocked.
+func TestCrashingRequestIsBlocked(t *testing.T) {
 	const end = 12 * time.Second
 	tests := map[string]struct {
-		after, gap time.Duration
-		disturb    func(w *world)
-		// most is how many servers may end under a request; where it is three it is not
-		// sent after that.
-		most int
+		crashAfter, gap time.Duration
+		inject          func(w *world)
+		// maxCrashes bounds the number of crashes under the request. If it is three, no send may
+		// follow.
+		maxCrashes int
 	}{
-		"at once":              {5 * time.Millisecond, 200 * time.Millisecond, nil, 3},
-		"while it is read":     {400 * time.Millisecond, 500 * time.Millisecond, nil, 3},
-		"a router starts anew": {200 * time.Millisecond, 300 * time.Millisecond, func(w *world) { w.at(3*time.Second, func() { w.restart(w.order[0]) }) }, 3},
-		"the zones are cut":    {200 * time.Millisecond, 300 * time.Millisecond, func(w *world) { w.cutZones() }, 6},
+		"at once":                   {5 * time.Millisecond, 200 * time.Millisecond, nil, 3},
+		"while the prompt is read":  {400 * time.Millisecond, 500 * time.Millisecond, nil, 3},
+		"a router restarts":         {200 * time.Millisecond, 300 * time.Millisecond, func(w *world) { w.schedule(3*time.Second, func() { w.restart(w.order[0]) }) }, 3},
+		"the zones are partitioned": {200 * time.Millisecond, 300 * time.Millisecond, func(w *world) { w.cutZones() }, 6},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(10) {
 				w := newWorld(seed, 3, []string{"a", "b"}, 6)
-				x := withCrashes(w, map[suspect.Digest]time.Duration{7: tc.after})
-				w.harmless(end)
-				w.deadly(7, 500*time.Millisecond, end, tc.gap)
-				if tc.disturb != nil {
-					tc.disturb(w)
+				x := withCrashes(w, map[suspect.Digest]time.Duration{7: tc.crashAfter})
+				w.addHarmless(end)
+				w.addCrashing(7, 500*time.Millisecond, end, tc.gap)
+				if tc.inject != nil {
+					tc.inject(w)
 				}
 				w.run(end)
-				if x.under[7] == 0 || x.under[7] > tc.most || tc.most == suspect.MaxCrashes && x.late > 0 {
-					t.Errorf("seed %d: %d servers ended, %d sends, %d of them late", seed, x.under[7], x.sends[7], x.late)
+				if x.crashed[7] == 0 || x.crashed[7] > tc.maxCrashes || tc.maxCrashes == suspect.MaxCrashes && x.lateSends > 0 {
+					t.Errorf("seed %d: %d servers crashed; %d sends, %d of them after the limit", seed, x.crashed[7], x.sends[7], x.lateSends)
 				}
-				if x.barred > 0 {
-					t.Errorf("seed %d: %d harmless requests were refused for ends of servers", seed, x.barred)
+				if x.blocked > 0 {
+					t.Errorf("seed %d: %d harmless requests were refused for crashes", seed, x.blocked)
 				}
 			}
 		})
 	}
 }
 
-// TestHotDeadlyRequestIsNotSentOn has several tries of a request under way at different
-// servers before the first of these ends: those servers end, and no other.
-func TestHotDeadlyRequestIsNotSentOn(t *testing.T) {
+// TestFrequentCrashingRequestIsBlocked: if attempts at several backend servers are in flight
+// before the first crash, no other servers may crash.
+func TestFrequentCrashingRequestIsBlocked(t *testing.T) {
 	const end, first = 8 * time.Second, 500 * time.Millisecond
 	for seed := range uint64(10) {
 		w := newWorld(seed, 3, []string{"a", "b"}, 6)
 		x := withCrashes(w, map[suspect.Digest]time.Duration{7: 550 * time.Millisecond})
-		w.harmless(end)
-		w.deadly(7, first, end, 100*time.Millisecond)
+		w.addHarmless(end)
+		w.addCrashing(7, first, end, 100*time.Millisecond)
 		w.run(end)
 		early := 0
 		for id, s := range w.starts {
-			if w.asked[id].request.Digest == 7 && s.at < first+100*time.Millisecond+x.after[7] {
+			if w.requests[id].request.Digest == 7 && s.at < first+100*time.Millisecond+x.crashAfter[7] {
 				early++
 			}
 		}
-		if x.under[7] < 2 || x.under[7] > max(suspect.MaxCrashes, early) {
-			t.Errorf("seed %d: %d servers ended, %d tries were under way before the first end", seed, x.under[7], early)
+		if x.crashed[7] < 2 || x.crashed[7] > max(suspect.MaxCrashes, early) {
+			t.Errorf("seed %d: %d servers crashed, %d attempts were in flight before the first crash", seed, x.crashed[7], early)
 		}
 	}
 }
 
-// restart has a router lose all that it knew; the others tell it what they know of ends.
+// restart restarts a router without its state. The others send it their crash records.
 func (w *world) restart(router string) {
-	for id, a := range w.asked {
+	for id, a := range w.requests {
 		if a.router == router {
-			w.crash.dead[id] = true
-			w.crash.ended(id)
+			w.crashes.disconnected[id] = true
+			w.crashes.onEnded(id)
 		}
 	}
 	w.cores[router] = admit.New(admit.Router{Address: router, Zone: zoneOf(router)}, admit.WithSeed(99))
 	w.step(router, admit.TableUpdate{Table: w.table})
-	w.tellRouters()
+	w.updateRouters()
 	for _, other := range w.order {
 		if other == router {
 			continue
@@ -117,116 +117,116 @@
 	}
 }
 
-// restartAll has all routers lose all that they knew.
+// restartAll restarts all routers without their state.
 func (w *world) restartAll() {
-	for id := range w.asked {
-		w.crash.dead[id] = true
-		w.crash.ended(id)
+	for id := range w.requests {
+		w.crashes.disconnected[id] = true
+		w.crashes.onEnded(id)
 	}
 	for i, router := range w.order {
 		w.cores[router] = admit.New(admit.Router{Address: router, Zone: zoneOf(router)}, admit.WithSeed(uint64(200+i)))
 		w.step(router, admit.TableUpdate{Table: w.table})
 	}
-	w.tellRouters()
+	w.updateRouters()
 }
 
-// cutZones keeps the routers of each zone from hearing those of the other.
+// cutZones partitions the network between the zones.
 func (w *world) cutZones() {
 	for _, a := range w.order {
 		for _, b := range w.order {
 			if zoneOf(a) != zoneOf(b) {
-				w.cut[[2]string{a, b}] = true
+				w.blocked[[2]string{a, b}] = true
 			}
 		}
 	}
-	w.tellRouters()
+	w.updateRouters()
 }
 
-// TestOtherEndsMakeNobodyASuspect ends servers by other causes, one after the other, many at
-// once, and so that those that were cut off are cut off again: nobody is refused for it.
-func TestOtherEndsMakeNobodyASuspect(t *testing.T) {
+// TestUnrelatedCrashesBlockNoRequest: crashes that no request causes must not block any
+// request, even if requests are disconnected repeatedly.
+func TestUnrelatedCrashesBlockNoRequest(t *testing.T) {
 	const end = 10 * time.Second
-	tests := map[string]func(w *world, x *crashes){
-		"one after the other": func(w *world, x *crashes) {
+	tests := map[string]func(w *world, x *crashSim){
+		"one at a time": func(w *world, x *crashSim) {
 			for i := range 8 {
-				w.at(time.Duration(1000+700*i)*time.Millisecond, func() { x.end(w.table.Backends[0].Name) })
+				w.schedule(time.Duration(1000+700*i)*time.Millisecond, func() { x.crash(w.table.Backends[0].Name) })
 			}
 		},
-		"a rack": func(w *world, x *crashes) {
-			w.at(2*time.Second, func() {
+		"a rack": func(w *world, x *crashSim) {
+			w.schedule(2*time.Second, func() {
 				for _, b := range w.table.Backends[:4] {
-					x.end(b.Name)
+					x.crash(b.Name)
 				}
 			})
 		},
-		"and again those that took over": func(w *world, x *crashes) {
+		"a rack, then the servers that got its requests": func(w *world, x *crashSim) {
 			for i := range 2 {
-				w.at(2*time.Second+time.Duration(i)*20*time.Millisecond, func() {
+				w.schedule(2*time.Second+time.Duration(i)*20*time.Millisecond, func() {
 					for _, b := range w.table.Backends[4*i : 4*i+4] {
-						x.end(b.Name)
+						x.crash(b.Name)
 					}
 				})
 			}
 		},
-		"a rack goes dark": func(w *world, x *crashes) {
-			x.silent = true
-			w.at(2*time.Second, func() {
+		"a rack stalls": func(w *world, x *crashSim) {
+			x.stallOnCrash = true
+			w.schedule(2*time.Second, func() {
 				for _, b := range w.table.Backends[:4] {
-					x.end(b.Name)
+					x.crash(b.Name)
 				}
 			})
 		},
-		"a fifth goes dark, again and again": func(w *world, x *crashes) {
-			x.silent = true
+		"a fifth stalls repeatedly": func(w *world, x *crashSim) {
+			x.stallOnCrash = true
 			w.every(2*time.Second, func() {
 				for _, b := range w.table.Backends {
 					if w.rng.Float64() < 0.2 {
-						x.end(b.Name)
+						x.crash(b.Name)
 					}
 				}
 			})
 		},
-		"a fifth, again and again": func(w *world, x *crashes) {
+		"a fifth repeatedly": func(w *world, x *crashSim) {
 			w.every(2*time.Second, func() {
 				for _, b := range w.table.Backends {
 					if w.rng.Float64() < 0.2 {
-						x.end(b.Name)
+						x.crash(b.Name)
 					}
 				}
 			})
 		},
 	}
-	for name, disturb := range tests {
+	for name, inject := range tests {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(10) {
 				w := newWorld(seed, 3, []string{"a", "b"}, 6)
 				x := withCrashes(w, nil)
-				w.harmless(end)
-				disturb(w, x)
+				w.addHarmless(end)
+				inject(w, x)
 				w.run(end)
-				if x.barred > 0 {
-					t.Errorf("seed %d: %d harmless requests were refused", seed, x.barred)
+				if x.blocked > 0 {
+					t.Errorf("seed %d: %d harmless requests were refused", seed, x.blocked)
 				}
 			}
 		})
 	}
 }
 
-// TestManyOfTheSame has callers poll, all with the same request, and all servers end at once
-// while they run some: when servers are back, it is served.
-func TestManyOfTheSame(t *testing.T) {
+// TestPolledRequestIsServedAfterOutage: a request that many clients send must be served after
+// all backend servers crashed while they ran it.
+func TestPolledRequestIsServedAfterOutage(t *testing.T) {
 	const end = 12 * time.Second
 	for seed := range uint64(10) {
 		w := newWorld(seed, 3, []string{"a"}, 3)
 		x := withCrashes(w, nil)
 		w.every(4*time.Millisecond, func() {
 			if w.now < end-time.Second {
-				w.ask(w.order[w.rng.IntN(len(w.order))], admit.Request{Prompt: 300, Output: 20, Digest: 8})
+				w.submit(w.order[w.rng.IntN(len(w.order))], admit.Request{Prompt: 300, Output: 20, Digest: 8})
 			}
 		})
-		w.at(2*time.Second, func() {
+		w.schedule(2*time.Second, func() {
 			for _, b := range w.table.Backends {
-				x.end(b.Name)
+				x.crash(b.Name)
 			}
 		})
 		w.run(end)
@@ -236,87 +236,87 @@
 				served++
 			}
 		}
-		if x.barred > 0 || served < 500 {
-			t.Errorf("seed %d: %d are refused for ends of servers, %d served once servers are back", seed, x.barred, served)
+		if x.blocked > 0 || served < 500 {
+			t.Errorf("seed %d: %d requests were refused for crashes, %d answered after the restart", seed, x.blocked, served)
 		}
 	}
 }
 
-// TestPolledRequestIsNobodysFault has callers poll, all with the same request, while servers
-// break connections off, now here, now there, and go on: it is refused to nobody for that.
-func TestPolledRequestIsNobodysFault(t *testing.T) {
+// TestPolledRequestIsNotBlocked: a request that many clients send must not be blocked because
+// backend servers sometimes break connections.
+func TestPolledRequestIsNotBlocked(t *testing.T) {
 	const end = 8 * time.Second
 	for seed := range uint64(10) {
 		w := newWorld(seed, 3, []string{"a"}, 4)
 		x := withCrashes(w, nil)
 		w.every(20*time.Millisecond, func() {
 			if w.now < end-time.Second {
-				w.ask(w.order[w.rng.IntN(len(w.order))], admit.Request{Prompt: 300, Output: 20, Digest: 8})
+				w.submit(w.order[w.rng.IntN(len(w.order))], admit.Request{Prompt: 300, Output: 20, Digest: 8})
 			}
 		})
-		w.every(700*time.Millisecond, func() { x.breakOff(w.table.Backends[w.rng.IntN(4)].Name) })
+		w.every(700*time.Millisecond, func() { x.breakConnections(w.table.Backends[w.rng.IntN(4)].Name) })
 		w.run(end)
-		if x.barred > 0 || x.waited > 0 {
-			t.Errorf("seed %d: %d are refused for ends of servers, %d for another try", seed, x.barred, x.waited)
+		if x.blocked > 0 || x.waited > 0 {
+			t.Errorf("seed %d: %d requests were refused for crashes, %d for another attempt", seed, x.blocked, x.waited)
 		}
 	}
 }
 
-// TestOneTryRunsAtATime has two routers hold tries of a request under which a server ended:
-// the second waits for the first to begin to answer, and is refused with a time to come
-// back when it can wait no longer.
-func TestOneTryRunsAtATime(t *testing.T) {
-	for name, hold := range map[string]time.Duration{"the first begins to answer": 20 * time.Millisecond, "the first does not": time.Second} {
+// TestOneAttemptAtATime: a second attempt of a request under which a backend server crashed
+// must wait until the first begins to respond, and is refused if that takes too long.
+func TestOneAttemptAtATime(t *testing.T) {
+	for name, latency := range map[string]time.Duration{"first attempt responds": 20 * time.Millisecond, "first attempt does not respond": time.Second} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(1, 2, []string{"a"}, 3)
-			w.base = hold
+			w.baseLatency = latency
 			for _, r := range w.order {
 				w.step(r, admit.Message{From: "other", Msg: &wire.Suspects{Ends: []wire.SuspectEnd{{Digest: 7, Server: 99}}}})
 			}
-			first := w.ask(w.order[0], admit.Request{Prompt: 900, Digest: 7})
+			first := w.submit(w.order[0], admit.Request{Prompt: 900, Digest: 7})
 			w.run(w.now + 5*time.Millisecond)
-			second := w.ask(w.order[1], admit.Request{Prompt: 900, Digest: 7})
-			harmless := w.ask(w.order[1], admit.Request{Prompt: 900, Digest: 8})
+			second := w.submit(w.order[1], admit.Request{Prompt: 900, Digest: 7})
+			harmless := w.submit(w.order[1], admit.Request{Prompt: 900, Digest: 8})
 			w.run(w.now + 5*time.Millisecond)
-			_, one := w.starts[first]
-			_, two := w.starts[second]
-			_, other := w.starts[harmless]
-			if !one || two || !other {
-				t.Fatalf("started: first %v, second %v, a harmless one %v", one, two, other)
+			_, firstStarted := w.starts[first]
+			_, secondStarted := w.starts[second]
+			_, otherStarted := w.starts[harmless]
+			if !firstStarted || secondStarted || !otherStarted {
+				t.Fatalf("started: first %v, second %v, harmless %v", firstStarted, secondStarted, otherStarted)
 			}
 			w.run(w.now + 500*time.Millisecond)
-			_, two = w.starts[second]
+			_, secondStarted = w.starts[second]
 			_, refused := w.refusals[second]
-			if want := hold < time.Second; two != want || refused == want {
-				t.Errorf("the second started: %v, is refused: %v", two, refused)
+			if want := latency < time.Second; secondStarted != want || refused == want {
+				t.Errorf("second: started %v, refused %v", secondStarted, refused)
 			}
 		})
 	}
 }
 
-// TestAloneKeepsOthersOff has a request run under which two servers ended: nothing new
-// joins it until it begins to answer.
-func TestAloneKeepsOthersOff(t *testing.T) {
+// TestExclusiveRequestKeepsOthersOut: no new request may join one under which two backend
+// servers crashed until it begins to respond.
+func TestExclusiveRequestKeepsOthersOut(t *testing.T) {
 	w := newWorld(1, 1, []string{"a"}, 1)
 	router := w.order[0]
-	w.base = 100 * time.Millisecond
-	ends := []wire.SuspectEnd{{Digest: 7, Server: 98}, {Digest: 7, Server: 99}}
-	w.step(router, admit.Message{From: "other", Msg: &wire.Suspects{Ends: ends}})
-	w.ask(router, admit.Request{Prompt: 900, Digest: 7})
+	w.baseLatency = 100 * time.Millisecond
+	crashes := []wire.SuspectEnd{{Digest: 7, Server: 98}, {Digest: 7, Server: 99}}
+	w.step(router, admit.Message{From: "other", Msg: &wire.Suspects{Ends: crashes}})
+	w.submit(router, admit.Request{Prompt: 900, Digest: 7})
 	w.run(w.now + 50*time.Millisecond)
-	beside := w.ask(router, admit.Request{Prompt: 900, Digest: 8, MaxWait: time.Second})
+	other := w.submit(router, admit.Request{Prompt: 900, Digest: 8, MaxWait: time.Second})
 	w.run(w.now + 20*time.Millisecond)
-	if _, started := w.starts[beside]; started {
-		t.Error("another request joined it")
+	if _, started := w.starts[other]; started {
+		t.Error("another request joined the exclusive one")
 	}
 	w.run(w.now + 100*time.Millisecond)
-	if _, started := w.starts[beside]; !started {
-		t.Error("another request waits though it has begun to answer")
+	if _, started := w.starts[other]; !started {
+		t.Error("another request still waits after the response began")
 	}
 }
 
-// TestSuspectsThatAreDamaged tells of ends that cannot have been: nothing is kept of them.
-func TestSuspectsThatAreDamaged(t *testing.T) {
+// TestInvalidSuspectsAreIgnored: reports with impossible crash times must not be recorded, nor
+// more crashes than one message may hold.
+func TestInvalidSuspectsAreIgnored(t *testing.T) {
 	w := newWorld(1, 2, []string{"a"}, 1)
 	c := w.cores[w.order[0]]
 	var many []wire.SuspectEnd
@@ -328,44 +328,43 @@
 		{Digest: 7, Server: 3, SentMillis: -1}, {Digest: 7, Server: 4, SentMillis: 1 << 62},
 	}}})
 	if n := c.SuspectCount(); n != 0 {
-		t.Errorf("%d requests are remembered", n)
+		t.Errorf("%d requests have recorded crashes, want 0", n)
 	}
 	w.step(w.order[0], admit.Message{From: w.order[1], Msg: &wire.Suspects{Ends: many}})
 	if n := c.SuspectCount(); n > 256 {
-		t.Errorf("%d requests are remembered of one message", n)
+		t.Errorf("%d requests have recorded crashes after one message, want at most 256", n)
 	}
 }
 
-// TestPolledBesideADeadlyRequest has callers poll, all with the same request, while another one
-// ends servers, and routers start anew: the polled one is at each end, and is refused to nobody
-// for that, since it ran to its end a moment before.
-func TestPolledBesideADeadlyRequest(t *testing.T) {
+// TestPolledRequestWithCrashingOneIsNotBlocked: a request that many clients send must not be
+// blocked because it is in flight whenever another one crashes backend servers.
+func TestPolledRequestWithCrashingOneIsNotBlocked(t *testing.T) {
 	const end = 12 * time.Second
 	for seed := range uint64(40) {
 		w := newWorld(seed, 4, []string{"a"}, 3)
 		x := withCrashes(w, map[suspect.Digest]time.Duration{7: time.Millisecond})
-		x.away = 500 * time.Millisecond
+		x.restartAfter = 500 * time.Millisecond
 		w.every(10*time.Millisecond, func() {
 			if w.now < end-time.Second {
-				w.ask(w.order[w.rng.IntN(len(w.order))], admit.Request{Prompt: 300, Output: 20, Digest: 8})
+				w.submit(w.order[w.rng.IntN(len(w.order))], admit.Request{Prompt: 300, Output: 20, Digest: 8})
 			}
 		})
-		w.deadly(7, 2*time.Second, end, 150*time.Millisecond)
+		w.addCrashing(7, 2*time.Second, end, 150*time.Millisecond)
 		for i, at := range []time.Duration{1900, 2050, 2200} {
-			w.at(at*time.Millisecond, func() { w.restart(w.order[i]) })
+			w.schedule(at*time.Millisecond, func() { w.restart(w.order[i]) })
 		}
 		w.run(end)
 		served := 0
 		for id, s := range w.starts {
-			if w.asked[id].request.Digest == 8 && s.at > 6*time.Second && s.first > 0 {
+			if w.requests[id].request.Digest == 8 && s.at > 6*time.Second && s.first > 0 {
 				served++
 			}
 		}
-		if x.barred > 0 || served < 300 {
-			t.Errorf("seed %d: %d are refused for ends of servers, %d served once these are past; %d ended under the deadly one", seed, x.barred, served, x.under[7])
+		if x.blocked > 0 || served < 300 {
+			t.Errorf("seed %d: %d polled requests were refused for crashes, %d answered afterwards; %d servers crashed under the other request", seed, x.blocked, served, x.crashed[7])
 		}
-		if x.under[7] > suspect.MaxCrashes+2 {
-			t.Errorf("seed %d: %d servers ended under the deadly request", seed, x.under[7])
+		if x.crashed[7] > suspect.MaxCrashes+2 {
+			t.Errorf("seed %d: %d servers crashed under the crashing request", seed, x.crashed[7])
 		}
 	}
 }
--- a/pkg/admit/choose.go
+++ b/pkg/admit/choose.go
@@ -48,7 +48,7 @@
 // fewest unread tokens.
 func (c *Core) leastUnread(eligible []*server) *server {
 	return slices.MinFunc(eligible, func(a, b *server) int {
-		return cmp.Compare(a.unreadReported(c.now), b.unreadReported(c.now))
+		return cmp.Compare(a.reportedUnread(c.now), b.reportedUnread(c.now))
 	})
 }
 
--- a/pkg/admit/crash_world_test.go
+++ b/pkg/admit/crash_world_test.go
@@ -9,82 +9,84 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// crashes has servers of a world end, with all that runs there, and start again as others.
-type crashes struct {
+// crashSim crashes and restarts the backend servers of a world.
+type crashSim struct {
 	w *world
-	// after is for how long a server runs a deadly request before it ends, by digest.
-	after map[suspect.Digest]time.Duration
-	// away is for how long an ended server is away.
-	away time.Duration
-	// once says that a request is tried once for each time that its caller comes.
-	once bool
-	// unseen is for how long the directory does not tell that an ended server has started
-	// again under its name, 0 if it takes the row out and puts the new start's in.
-	unseen time.Duration
-	// silent says that a server which ends breaks nothing off: it only says nothing more.
-	silent bool
-	// running are the requests at each server, dead those that were cut off.
-	running map[string][]uint64
-	dead    map[uint64]bool
-	// gone are the servers that have ended and not started again.
-	gone map[string]bool
-	// under counts the ends under a deadly request, sends how often it was sent.
-	under, sends map[suspect.Digest]int
-	// late counts the sends of deadly requests after three servers had ended under them.
-	late int
-	// barred counts refusals of harmless requests for ends of servers, waited those since
-	// another try ran.
-	barred, waited int
-	// tries are how often a request was sent, by the request's first id.
+	// crashAfter is the time from the start of a crashing request to the crash, by digest.
+	crashAfter map[suspect.Digest]time.Duration
+	// restartAfter is the time from a crash to the restart.
+	restartAfter time.Duration
+	// singleTry says that routers do not retry crashing requests.
+	singleTry bool
+	// restartHiddenFor is how long the directory keeps showing the old incarnation after a
+	// restart under the same name. If it is 0, the row is removed and the new incarnation's row
+	// added.
+	restartHiddenFor time.Duration
+	// stallOnCrash says that connections stall on a crash instead of breaking.
+	stallOnCrash bool
+	// running are the requests at each backend server, disconnected those cut off by a crash.
+	running      map[string][]uint64
+	disconnected map[uint64]bool
+	// down are the backend servers that have not restarted yet.
+	down map[string]bool
+	// crashed counts the crashes under a crashing request, sends its attempts.
+	crashed, sends map[suspect.Digest]int
+	// lateSends counts the attempts of crashing requests after the third crash.
+	lateSends int
+	// blocked counts the harmless requests refused for crashes, waited those refused because
+	// another attempt ran.
+	blocked, waited int
+	// tries counts the attempts of a request.
 	tries map[uint64]int
 }
 
-func withCrashes(w *world, after map[suspect.Digest]time.Duration) *crashes {
-	w.crash = &crashes{
-		w: w, after: after, away: 3 * time.Second, running: map[string][]uint64{}, dead: map[uint64]bool{}, gone: map[string]bool{},
-		under: map[suspect.Digest]int{}, sends: map[suspect.Digest]int{}, tries: map[uint64]int{},
+func withCrashes(w *world, after map[suspect.Digest]time.Duration) *crashSim {
+	w.crashes = &crashSim{
+		w: w, crashAfter: after, restartAfter: 3 * time.Second, running: map[string][]uint64{}, disconnected: map[uint64]bool{}, down: map[string]bool{},
+		crashed: map[suspect.Digest]int{}, sends: map[suspect.Digest]int{}, tries: map[uint64]int{},
 	}
-	return w.crash
+	return w.crashes
 }
 
-func (x *crashes) isDead(id uint64) bool { return x != nil && x.dead[id] }
+func (x *crashSim) isDisconnected(id uint64) bool { return x != nil && x.disconnected[id] }
 
-// isDeadly reports whether a server ends under a request, which is never answered.
-func (x *crashes) isDeadly(d suspect.Digest) bool {
+// isCrashing reports whether a request crashes backend servers. Such requests never get a
+// response.
+func (x *crashSim) isCrashing(d suspect.Digest) bool {
 	if x == nil {
 		return false
 	}
-	_, deadly := x.after[d]
-	return deadly
+	_, crashing := x.crashAfter[d]
+	return crashing
 }
 
-// sent has a server run a request, and reports whether it is there.
-func (x *crashes) sent(id uint64, d suspect.Digest, server string) bool {
+// onSent records a request at a backend server, and reports whether the server is up.
+func (x *crashSim) onSent(id uint64, d suspect.Digest, server string) bool {
 	if x == nil {
 		return true
 	}
-	if x.gone[server] {
+	if x.down[server] {
 		return false
 	}
 	x.running[server] = append(x.running[server], id)
-	delay, deadly := x.after[d]
-	if !deadly {
+	delay, crashing := x.crashAfter[d]
+	if !crashing {
 		return true
 	}
 	x.sends[d]++
-	if x.under[d] >= suspect.MaxCrashes {
-		x.late++
+	if x.crashed[d] >= suspect.MaxCrashes {
+		x.lateSends++
 	}
-	x.w.at(delay, func() {
-		if !x.dead[id] && slices.Contains(x.running[server], id) {
-			x.under[d]++
-			x.end(server)
+	x.w.schedule(delay, func() {
+		if !x.disconnected[id] && slices.Contains(x.running[server], id) {
+			x.crashed[d]++
+			x.crash(server)
 		}
 	})
 	return true
 }
 
-func (x *crashes) ended(id uint64) {
+func (x *crashSim) onEnded(id uint64) {
 	if x == nil {
 		return
 	}
@@ -93,69 +95,70 @@
 	}
 }
 
-func (x *crashes) refused(a admit.Refuse) {
-	if x == nil || a.Crashes == 0 || x.isDeadly(x.w.asked[a.ID].request.Digest) {
+func (x *crashSim) onRefused(a admit.Refuse) {
+	if x == nil || a.Crashes == 0 || x.isCrashing(x.w.requests[a.ID].request.Digest) {
 		return
 	}
 	if a.Err.Code == "on-trial" {
 		x.waited++
 		return
 	}
-	x.barred++
+	x.blocked++
 }
 
-// breakOff has a server break off what runs there, and go on.
-func (x *crashes) breakOff(server string) {
-	cut := x.running[server]
+// breakConnections disconnects all requests at a backend server without a crash.
+func (x *crashSim) breakConnections(server string) {
+	ids := x.running[server]
 	x.running[server] = nil
-	for _, id := range cut {
-		x.dead[id] = true
-		x.w.at(netTime, func() { x.cutOff(id) })
+	for _, id := range ids {
+		x.disconnected[id] = true
+		x.w.schedule(netLatency, func() { x.disconnect(id) })
 	}
 }
 
-// end ends a server; its row goes after a second and another start comes later.
-func (x *crashes) end(server string) {
+// crash crashes a backend server, which restarts later.
+func (x *crashSim) crash(server string) {
 	w := x.w
-	if x.gone[server] {
+	if x.down[server] {
 		return
 	}
-	x.gone[server] = true
-	cut := x.running[server]
+	x.down[server] = true
+	ids := x.running[server]
 	x.running[server] = nil
-	for _, id := range cut {
-		x.dead[id] = true
+	for _, id := range ids {
+		x.disconnected[id] = true
 	}
-	if x.unseen > 0 {
-		x.startUnseen(server)
+	if x.restartHiddenFor > 0 {
+		x.restartHidden(server)
 	} else {
-		x.startAsAnother(server)
+		x.restartAsNew(server)
 	}
-	for _, id := range cut {
-		if x.silent {
-			w.at(silentFor, func() { x.fellSilent(id) })
+	for _, id := range ids {
+		if x.stallOnCrash {
+			w.schedule(stallTimeout, func() { x.stall(id) })
 			continue
 		}
-		w.at(netTime, func() { x.cutOff(id) })
+		w.schedule(netLatency, func() { x.disconnect(id) })
 	}
 }
 
-// silentFor is how long a holder waits for a server that says nothing.
-const silentFor = 800 * time.Millisecond
+// stallTimeout is when a holder gives up a stalled request.
+const stallTimeout = 800 * time.Millisecond
 
-// fellSilent tells the holder of a request that nothing came for too long.
-func (x *crashes) fellSilent(id uint64) {
-	a := x.w.asked[id]
+// stall reports to the holder that a request stalled.
+func (x *crashSim) stall(id uint64) {
+	a := x.w.requests[id]
 	x.w.step(a.router, admit.AttemptEnd{ID: id, Result: admit.Stalled, Digest: a.request.Digest})
-	x.tryAgain(id)
+	x.retry(id)
 }
 
-// startUnseen has an ended server start again under its name, which its row tells later.
-func (x *crashes) startUnseen(server string) {
+// restartHidden restarts a backend server under its name. The directory shows the new
+// incarnation later.
+func (x *crashSim) restartHidden(server string) {
 	w := x.w
-	w.at(x.away, func() { x.gone[server] = false })
-	w.at(x.away+x.unseen, func() {
-		w.change(func(t *table.Table) {
+	w.schedule(x.restartAfter, func() { x.down[server] = false })
+	w.schedule(x.restartAfter+x.restartHiddenFor, func() {
+		w.updateTable(func(t *table.Table) {
 			for i := range t.Backends {
 				if t.Backends[i].Name == server {
 					t.Backends[i].Born = int64(w.now)
@@ -165,12 +168,11 @@
 	})
 }
 
-// startAsAnother has the row of an ended server go after a second, and that of its next start
-// come later.
-func (x *crashes) startAsAnother(server string) {
+// restartAsNew removes the row of a backend server and adds that of its next incarnation later.
+func (x *crashSim) restartAsNew(server string) {
 	w := x.w
-	w.at(min(time.Second, x.away/2), func() {
-		w.change(func(t *table.Table) {
+	w.schedule(min(time.Second, x.restartAfter/2), func() {
+		w.updateTable(func(t *table.Table) {
 			t.Backends = slices.DeleteFunc(t.Backends, func(b table.Backend) bool { return b.Name == server })
 		})
 	})
@@ -180,57 +182,57 @@
 			row = b
 		}
 	}
-	w.at(x.away, func() {
+	w.schedule(x.restartAfter, func() {
 		row.Born = int64(w.now)
-		x.gone[server] = false
-		w.change(func(t *table.Table) { t.Backends = append(t.Backends, row) })
+		x.down[server] = false
+		w.updateTable(func(t *table.Table) { t.Backends = append(t.Backends, row) })
 	})
 }
 
-// cutOff tells the holder of a request that its server broke off.
-func (x *crashes) cutOff(id uint64) {
-	a := x.w.asked[id]
+// disconnect reports to the holder that the connection of a request broke.
+func (x *crashSim) disconnect(id uint64) {
+	a := x.w.requests[id]
 	x.w.step(a.router, admit.AttemptEnd{ID: id, Result: admit.Broken, Digest: a.request.Digest, Disconnected: true})
-	x.tryAgain(id)
+	x.retry(id)
 }
 
-// tryAgain has the holder of a request that failed try it once more, or its caller come back.
-func (x *crashes) tryAgain(id uint64) {
+// retry lets the holder retry a failed request, or its client send it again.
+func (x *crashSim) retry(id uint64) {
 	w := x.w
-	a := w.asked[id]
+	a := w.requests[id]
 	x.tries[id]++
-	if w.down[a.router] || x.isDeadly(a.request.Digest) && (x.once || x.tries[id] > 1) || x.tries[id] >= mostTries {
+	if w.down[a.router] || x.isCrashing(a.request.Digest) && (x.singleTry || x.tries[id] > 1) || x.tries[id] >= maxTries {
 		return
 	}
 	if x.tries[id] > 1 {
-		x.comesBack(id)
+		x.retryByClient(id)
 		return
 	}
-	again := a.request
-	again.Retry, again.MayHaveRun, again.Resuming = true, true, w.starts[id].first > 0
+	r := a.request
+	r.Retry, r.MayHaveRun, r.Resuming = true, true, w.starts[id].first > 0
 	w.nextID++
-	again.ID = w.nextID
-	x.tries[again.ID] = x.tries[id]
-	w.asked[again.ID] = askedOf{router: a.router, request: again, at: w.now}
-	w.step(a.router, admit.Arrive{Request: again})
+	r.ID = w.nextID
+	x.tries[r.ID] = x.tries[id]
+	w.requests[r.ID] = arrival{router: a.router, request: r, at: w.now}
+	w.step(a.router, admit.Arrive{Request: r})
 }
 
-// mostTries is how often a harmless request is sent by the fleet and by its caller.
-const mostTries = 4
+// maxTries bounds the attempts of a harmless request.
+const maxTries = 4
 
-// comesBack has the caller of a request that was cut off come back, to any router.
-func (x *crashes) comesBack(id uint64) {
+// retryByClient sends a request again, to a random router.
+func (x *crashSim) retryByClient(id uint64) {
 	w := x.w
-	w.at(200*time.Millisecond, func() {
-		r := w.asked[id].request
+	w.schedule(200*time.Millisecond, func() {
+		r := w.requests[id].request
 		r.Retry, r.MayHaveRun, r.Resuming = false, false, false
 		x.tries[w.nextID+1] = x.tries[id]
-		w.ask(w.order[w.rng.IntN(len(w.order))], r)
+		w.submit(w.order[w.rng.IntN(len(w.order))], r)
 	})
 }
 
-// tellSuspects delivers what a router has to tell of ends.
-func (w *world) tellSuspects(name string) {
+// sendSuspects sends the crash updates of a router to the others.
+func (w *world) sendSuspects(name string) {
 	c := w.cores[name]
 	if c == nil || !c.HasSuspectUpdates() {
 		return
--- a/pkg/admit/ebb_test.go
+++ b/pkg/admit/ebb_test.go
@@ -8,18 +8,17 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// TestFloodThatEbbs has an account whose callers all come to one router flood, and then
-// ask for less than its share: a moment later nothing of it is refused. Before, a third of
-// its tries in each of the next two seconds were refused as over its share.
-func TestFloodThatEbbs(t *testing.T) {
-	const flood, less, level = 15e6, 1e6, 2e6
+// TestDecliningDemandIsAdmitted: soon after an account's demand at its only router has fallen
+// below its fair share, no requests of it may be refused.
+func TestDecliningDemandIsAdmitted(t *testing.T) {
+	const overload, reduced, fairShare = 15e6, 1e6, 2e6
 	key := wire.KeyOf("moka")
 	c := admit.New(admit.Router{Address: "r", Zone: "a"})
 	others := &wire.State{Scope: wire.ScopeRest, Accounts: []wire.AccountFlow{
-		{Account: wire.KeyOf("best"), Asked: 5 * level, Begun: level}, {Account: key, Begun: level},
+		{Account: wire.KeyOf("best"), Asked: 5 * fairShare, Begun: fairShare}, {Account: key, Begun: fairShare},
 	}}
 	const step = 50 * time.Millisecond
-	part := func(now time.Duration, perSecond float64) float64 {
+	admitFraction := func(now time.Duration, perSecond float64) float64 {
 		c.Step(now, admit.PeerState{From: "x", Zone: "a", Msg: others})
 		c.CountRefused(now, key, perSecond*step.Seconds())
 		if p, ok := c.AdmitFractions(now)[key]; ok {
@@ -30,19 +29,19 @@
 	now := time.Hour
 	for range 80 {
 		now += step
-		part(now, flood)
+		admitFraction(now, overload)
 	}
-	if p := part(now, flood); p > 0.3 {
-		t.Errorf("%.2f of a flood are let in", p)
+	if p := admitFraction(now, overload); p > 0.3 {
+		t.Errorf("%.2f of the requests are admitted under overload", p)
 	}
-	from, free := now, time.Duration(0)
+	from, refusedFor := now, time.Duration(0)
 	for now < from+3*time.Second {
 		now += step
-		if p := part(now, less); p < 1 {
-			free = now - from
+		if p := admitFraction(now, reduced); p < 1 {
+			refusedFor = now - from
 		}
 	}
-	if free > 800*time.Millisecond {
-		t.Errorf("some are refused until %v after the flood", free)
+	if refusedFor > 800*time.Millisecond {
+		t.Errorf("requests are refused until %v after the overload", refusedFor)
 	}
 }
--- a/pkg/admit/lagging_test.go
+++ b/pkg/admit/lagging_test.go
@@ -9,35 +9,35 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// TestNobodyGetsMoreWhileAnotherLags looks which part is let in of an account that has
-// more than its level, beside one that asks for more than it gets.
-func TestNobodyGetsMoreWhileAnotherLags(t *testing.T) {
+// TestNoOvercommitWhileAnotherLags: an account must not be admitted above its fair share while
+// another one gets much less than its own.
+func TestNoOvercommitWhileAnotherLags(t *testing.T) {
 	tests := map[string]struct {
-		asked, begun uint32
-		// times is how many times the level the other may try to get.
-		times float64
+		demand, started uint32
+		// multiple is the multiple of the fair share up to which requests are admitted.
+		multiple float64
 	}{
-		"it has its level":       {4000, 950, 1.5},
-		"it has most of it":      {4000, 800, 1.5},
-		"it lags":                {4000, 300, 1},
-		"it has nothing":         {4000, 0, 1},
-		"it asks for little":     {300, 30, 1.5},
-		"it asks for some of it": {700, 100, 1},
+		"gets its fair share": {4000, 950, 1.5},
+		"gets most of it":     {4000, 800, 1.5},
+		"lags":                {4000, 300, 1},
+		"gets nothing":        {4000, 0, 1},
+		"little demand":       {300, 30, 1.5},
+		"moderate demand":     {700, 100, 1},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			best := wire.KeyOf("best")
 			c := admit.New(admit.Router{Address: "r", Zone: "a"})
-			// The rest is what makes the level 1,000 or a little more.
-			flows := []wire.AccountFlow{{Account: best, Asked: 6000, Begun: 1400}, {Account: wire.KeyOf("moka"), Asked: tc.asked, Begun: tc.begun}}
+			// These flows make the fair share 1,000 or a little more.
+			flows := []wire.AccountFlow{{Account: best, Asked: 6000, Begun: 1400}, {Account: wire.KeyOf("moka"), Asked: tc.demand, Begun: tc.started}}
 			c.Step(time.Hour, admit.PeerState{From: "x", Zone: "a", Msg: &wire.State{Scope: wire.ScopeRest, Accounts: flows}})
-			part := c.AdmitFractions(time.Hour)[best]
-			level := c.Shares(time.Hour).FairShare
-			if level <= 0 || level >= 1400 {
-				t.Fatalf("the level is %.0f", level)
+			fraction := c.AdmitFractions(time.Hour)[best]
+			fairShare := c.Shares(time.Hour).FairShare
+			if fairShare <= 0 || fairShare >= 1400 {
+				t.Fatalf("the fair share is %.0f", fairShare)
 			}
-			if got := part * 6000 / level; math.Abs(got-tc.times) > 0.01 {
-				t.Errorf("it may try for %.2f times the level of %.0f, want %.2f", got, level, tc.times)
+			if got := fraction * 6000 / fairShare; math.Abs(got-tc.multiple) > 0.01 {
+				t.Errorf("requests up to %.2f times the fair share of %.0f are admitted, want %.2f", got, fairShare, tc.multiple)
 			}
 		})
 	}
--- a/pkg/admit/limits.go
+++ b/pkg/admit/limits.go
@@ -10,10 +10,10 @@
 const (
 	// limitBurst is the capacity of the token buckets, in seconds of their rates.
 	limitBurst = 1.0
-	// activationPeriod is how long a router keeps to an even share of the in-flight limit after
-	// an account became active there: others may have started at the same time without having
-	// reported it yet.
-	activationPeriod = 250 * time.Millisecond
+	// newAccountPeriod is how long a router keeps to an even share of the in-flight limit after
+	// it first saw an account: others may have started at the same time without having reported
+	// it yet.
+	newAccountPeriod = 250 * time.Millisecond
 )
 
 // limiter enforces the limits of an account for a service in the whole fleet. Each router
@@ -26,8 +26,8 @@
 	// reports of other routers.
 	requests, tokens float64
 	filledAt         time.Duration
-	// activeSince is when the account last became active at this router.
-	activeSince time.Duration
+	// createdAt is when this router first saw the account.
+	createdAt time.Duration
 }
 
 // update returns the limiter for new limits, with the same bucket levels; nil if there are no
@@ -37,7 +37,7 @@
 		return nil
 	}
 	if l == nil {
-		l = &limiter{requests: limits.RequestsPerSecond * limitBurst, tokens: limits.TokensPerSecond * limitBurst, filledAt: now, activeSince: now}
+		l = &limiter{requests: limits.RequestsPerSecond * limitBurst, tokens: limits.TokensPerSecond * limitBurst, filledAt: now, createdAt: now}
 	}
 	l.Limits = limits
 	return l
@@ -89,14 +89,14 @@
 
 // inFlightQuota returns how many requests of an account this router may have in flight. It
 // divides the limit in proportion to the demand at all routers, up to what the others leave
-// unused, but grants at least an even share. During activationPeriod it grants the even share
+// unused, but grants at least an even share. During newAccountPeriod it grants the even share
 // only. If routers are unreachable it divides only a part of the limit, but at least one
 // request.
 func (c *Core) inFlightQuota(u *accountUsage) int {
 	l := u.limiter
 	limit := max(1, int(float64(l.InFlight)*c.reachableRouterFraction()))
 	evenQuota := evenShare(limit, c.opt.self.Address, c.routerAddresses())
-	if c.now-l.activeSince < activationPeriod {
+	if c.now-l.createdAt < newAccountPeriod {
 		return evenQuota
 	}
 	running, demand := 0, 0
--- a/pkg/admit/order.go
+++ b/pkg/admit/order.go
@@ -52,18 +52,18 @@
 }
 
 func computeOrder(svc *service, prefix uint64) []*server {
-	type weighted struct {
+	type weightedServer struct {
 		*server
 		weight uint64
 	}
 	threshold := minWeight(len(svc.servers))
-	all := make([]weighted, 0, min(len(svc.servers), 2*maxOrderLen))
+	all := make([]weightedServer, 0, min(len(svc.servers), 2*maxOrderLen))
 	for _, s := range svc.servers {
 		if weight := rendezvous.WeightHashed(prefix, s.Name); weight >= threshold {
-			all = append(all, weighted{s, weight})
+			all = append(all, weightedServer{s, weight})
 		}
 	}
-	slices.SortFunc(all, func(a, b weighted) int { return cmp.Compare(b.weight, a.weight) })
+	slices.SortFunc(all, func(a, b weightedServer) int { return cmp.Compare(b.weight, a.weight) })
 	order := make([]*server, 0, len(all))
 	for _, w := range all[:min(len(all), maxOrderLen)] {
 		order = append(order, w.server)
--- a/pkg/admit/pace.go
+++ b/pkg/admit/pace.go
@@ -82,20 +82,20 @@
 }
 
 // ObserveDelay adds a sample of the processing delay.
-func (p *CapacityEstimator) ObserveDelay(now, delay time.Duration) {
-	p.delay += time.Duration(delayWeight * float64(delay-p.delay))
+func (e *CapacityEstimator) ObserveDelay(now, delay time.Duration) {
+	e.delay += time.Duration(delayWeight * float64(delay-e.delay))
 	excess := float64(delay-delayThreshold) / float64(delayLimit-delayThreshold)
-	p.throttle = 1 - min(1, max(0, excess))
-	if excess <= 0 || now-p.cutAt < max(rateCutInterval, delay) || p.totalDemand()+refusalCost*p.refusals < busyFraction*p.rate {
+	e.throttle = 1 - min(1, max(0, excess))
+	if excess <= 0 || now-e.cutAt < max(rateCutInterval, delay) || e.totalDemand()+refusalCost*e.refusals < busyFraction*e.rate {
 		return
 	}
-	p.cutAt = now
-	p.rate = max(p.minRate, p.rate*(1-rateDecrease*min(1, excess)))
+	e.cutAt = now
+	e.rate = max(e.minRate, e.rate*(1-rateDecrease*min(1, excess)))
 }
 
-func (p *CapacityEstimator) totalDemand() float64 {
+func (e *CapacityEstimator) totalDemand() float64 {
 	sum := 0.0
-	for _, demand := range p.demand {
+	for _, demand := range e.demand {
 		sum += demand
 	}
 	return sum
@@ -117,54 +117,54 @@
 // account, and the number refused. It divides the capacity among accounts by max-min fairness.
 // If requests can be forwarded, it reserves as much time for that as maximizes the requests
 // processed in the fleet.
-func (p *CapacityEstimator) Plan(period time.Duration, arrived map[wire.Key]int, refused int, canForward bool) AdmissionPlan {
-	p.observeDemand(period, arrived, refused)
-	capacity := max(p.minRate, p.rate-refusalCost*p.refusals) * p.throttle
-	demand := p.totalDemand()
-	plan := AdmissionPlan{PerAccount: math.Inf(1), Burst: int(math.Ceil(p.rate * burstPeriod.Seconds()))}
+func (e *CapacityEstimator) Plan(period time.Duration, arrived map[wire.Key]int, refused int, canForward bool) AdmissionPlan {
+	e.observeDemand(period, arrived, refused)
+	capacity := max(e.minRate, e.rate-refusalCost*e.refusals) * e.throttle
+	demand := e.totalDemand()
+	plan := AdmissionPlan{PerAccount: math.Inf(1), Burst: int(math.Ceil(e.rate * burstPeriod.Seconds()))}
 	if demand <= admitAllFraction*capacity {
-		p.admitted = 1
+		e.admitted = 1
 		return plan
 	}
-	p.admitted = min(1, capacity/demand)
-	if p.throttle == 1 {
-		p.rate = min(p.maxRate, p.rate*(1+rateIncrease))
+	e.admitted = min(1, capacity/demand)
+	if e.throttle == 1 {
+		e.rate = min(e.maxRate, e.rate*(1+rateIncrease))
 	}
 	if canForward {
 		plan.Forward = min(max(0, demand-capacity)/(1-forwardCost), capacity*(1-localWorkFraction)/forwardCost)
 		capacity -= forwardCost * plan.Forward
 	}
-	plan.PerAccount = maxMinShare(slices.Collect(maps.Values(p.demand)), capacity)
+	plan.PerAccount = maxMinShare(slices.Collect(maps.Values(e.demand)), capacity)
 	return plan
 }
 
 // observeDemand updates the moving averages of demand and refusals.
-func (p *CapacityEstimator) observeDemand(period time.Duration, arrived map[wire.Key]int, refused int) {
+func (e *CapacityEstimator) observeDemand(period time.Duration, arrived map[wire.Key]int, refused int) {
 	seconds := max(period, time.Millisecond).Seconds()
-	p.refusals += demandWeight * (float64(refused)/seconds - p.refusals)
+	e.refusals += demandWeight * (float64(refused)/seconds - e.refusals)
 	for key := range arrived {
-		if _, ok := p.demand[key]; !ok {
-			p.demand[key] = 0
+		if _, ok := e.demand[key]; !ok {
+			e.demand[key] = 0
 		}
 	}
-	for key, demand := range p.demand {
+	for key, demand := range e.demand {
 		demand += demandWeight * (float64(arrived[key])/seconds - demand)
 		if demand < 0.01 {
-			delete(p.demand, key)
+			delete(e.demand, key)
 			continue
 		}
-		p.demand[key] = demand
+		e.demand[key] = demand
 	}
 }
 
 // AdmittedFraction returns the fraction of the demand that the last plan admitted.
-func (p *CapacityEstimator) AdmittedFraction() float64 { return p.admitted }
+func (e *CapacityEstimator) AdmittedFraction() float64 { return e.admitted }
 
 // Rate returns the number of requests per second that can be processed without refusals.
-func (p *CapacityEstimator) Rate() float64 { return p.rate }
+func (e *CapacityEstimator) Rate() float64 { return e.rate }
 
 // Delay returns the moving average of the processing delay.
-func (p *CapacityEstimator) Delay() time.Duration { return p.delay }
+func (e *CapacityEstimator) Delay() time.Duration { return e.delay }
 
 // maxMinShare returns the share at which all demands up to it add up to the total.
 func maxMinShare(demands []float64, total float64) float64 {
--- a/pkg/admit/pace_test.go
+++ b/pkg/admit/pace_test.go
@@ -9,90 +9,88 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// What requests cost the router of TestPaceUsesTheProcessor: one that is worked
-// on, and one that is refused unseen.
+// Processor time of a processed and of a refused request.
 const (
-	workedOn = 900 * time.Microsecond
-	refused  = 250 * time.Microsecond
+	processCost = 900 * time.Microsecond
+	refusalCost = 250 * time.Microsecond
 )
 
-// paced runs a router that has a part of a processor, and to which so many
-// requests come a second, and returns how many it works on a second and how late
-// it is on average, after two seconds to settle.
-func paced(processor, perSecond float64, runs time.Duration) (worked float64, late time.Duration) {
+// simulateRouter runs a router with a fraction of a processor at a request rate. It returns the
+// rate of processed requests and the mean processing delay after an initial period.
+func simulateRouter(processor, perSecond float64, duration time.Duration) (processed float64, delay time.Duration) {
 	const step = 50 * time.Millisecond
-	const settles = 2 * time.Second
-	p := admit.NewCapacityEstimator(processor)
-	backlog, sum, steps, left := 0.0, 0.0, 0, 0.0
+	const settleTime = 2 * time.Second
+	e := admit.NewCapacityEstimator(processor)
+	backlog, sum, steps, remainder := 0.0, 0.0, 0, 0.0
 	key := wire.KeyOf("moka")
-	plan := p.Plan(step, nil, 0, false)
-	for now := time.Duration(0); now < runs; now += step {
-		come := perSecond*step.Seconds() + left
-		left = come - math.Floor(come)
-		come = math.Floor(come)
-		in := min(come, plan.PerAccount*step.Seconds(), float64(plan.Burst))
-		backlog += in*workedOn.Seconds() + (come-in)*refused.Seconds()
+	plan := e.Plan(step, nil, 0, false)
+	for now := time.Duration(0); now < duration; now += step {
+		arrived := perSecond*step.Seconds() + remainder
+		remainder = arrived - math.Floor(arrived)
+		arrived = math.Floor(arrived)
+		admitted := min(arrived, plan.PerAccount*step.Seconds(), float64(plan.Burst))
+		backlog += admitted*processCost.Seconds() + (arrived-admitted)*refusalCost.Seconds()
 		backlog = max(0, backlog-processor*step.Seconds())
-		waits := backlog / processor
-		p.ObserveDelay(now, time.Duration(waits*float64(time.Second)))
-		plan = p.Plan(step, map[wire.Key]int{key: int(come)}, int(come-in), false)
-		if now >= settles {
-			worked += in
-			sum += waits
+		delaySeconds := backlog / processor
+		e.ObserveDelay(now, time.Duration(delaySeconds*float64(time.Second)))
+		plan = e.Plan(step, map[wire.Key]int{key: int(arrived)}, int(arrived-admitted), false)
+		if now >= settleTime {
+			processed += admitted
+			sum += delaySeconds
 			steps++
 		}
 	}
-	return worked / (runs - settles).Seconds(), time.Duration(sum / float64(steps) * float64(time.Second))
+	return processed / (duration - settleTime).Seconds(), time.Duration(sum / float64(steps) * float64(time.Second))
 }
 
-// TestPaceUsesTheProcessor has more requests come than a router can work on: it is
-// to use nearly all of its time, and to be little late.
-func TestPaceUsesTheProcessor(t *testing.T) {
+// TestEstimatorUsesProcessor: an overloaded router must use nearly all of its processor time
+// with little delay.
+func TestEstimatorUsesProcessor(t *testing.T) {
 	const processor = 0.19
-	for name, perSecond := range map[string]float64{"a little too many": 250, "twice as many": 400, "a flood": 600} {
+	for name, perSecond := range map[string]float64{"slight overload": 250, "twice the capacity": 400, "heavy overload": 600} {
 		t.Run(name, func(t *testing.T) {
-			can := (processor - perSecond*refused.Seconds()) / (workedOn - refused).Seconds()
-			worked, late := paced(processor, perSecond, 20*time.Second)
-			t.Logf("works on %.0f of %.0f a second, can on %.0f; late by %v", worked, perSecond, can, late)
-			if worked < 0.85*can {
-				t.Errorf("it works on %.0f requests a second, and can on %.0f", worked, can)
+			capacity := (processor - perSecond*refusalCost.Seconds()) / (processCost - refusalCost).Seconds()
+			processed, delay := simulateRouter(processor, perSecond, 20*time.Second)
+			t.Logf("processes %.0f of %.0f requests per second, capacity %.0f, delay %v", processed, perSecond, capacity, delay)
+			if processed < 0.85*capacity {
+				t.Errorf("processes %.0f requests per second, capacity %.0f", processed, capacity)
 			}
-			if late > 40*time.Millisecond {
-				t.Errorf("it is late by %v", late)
+			if delay > 40*time.Millisecond {
+				t.Errorf("mean delay %v", delay)
 			}
 		})
 	}
 }
 
-// TestPlanHandsOnWhatItCannotWorkOn has a router that works on some 330 requests a second
-// plan for what comes, alone and with others beside it.
-func TestPlanHandsOnWhatItCannotWorkOn(t *testing.T) {
+// TestPlanForwardsExcess: a router must forward what exceeds its capacity of about 330 requests
+// per second, if there are other routers.
+func TestPlanForwardsExcess(t *testing.T) {
 	tests := map[string]struct {
-		come   int
-		others bool
-		// each and forward are the least and the most of the plan's rates.
-		each, forward [2]float64
+		arrived    int
+		canForward bool
+		// perAccount and forward are the bounds of the plan's rates.
+		perAccount, forward [2]float64
 	}{
-		"time for all":               {200, true, [2]float64{math.Inf(1), math.Inf(1)}, [2]float64{0, 0}},
-		"just at its limit":          {320, true, [2]float64{300, math.Inf(1)}, [2]float64{0, 10}},
-		"twice as much":              {660, true, [2]float64{150, 250}, [2]float64{400, 520}},
-		"more than can be handed on": {5000, true, [2]float64{60, 90}, [2]float64{700, 900}},
+		"within capacity":            {200, true, [2]float64{math.Inf(1), math.Inf(1)}, [2]float64{0, 0}},
+		"at capacity":                {320, true, [2]float64{300, math.Inf(1)}, [2]float64{0, 10}},
+		"twice the capacity":         {660, true, [2]float64{150, 250}, [2]float64{400, 520}},
+		"more than can be forwarded": {5000, true, [2]float64{60, 90}, [2]float64{700, 900}},
 		"alone":                      {660, false, [2]float64{300, 340}, [2]float64{0, 0}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := admit.NewCapacityEstimator(0.192)
+			e := admit.NewCapacityEstimator(0.192)
 			key := wire.KeyOf("moka")
 			var plan admit.AdmissionPlan
 			for range 8 {
-				plan = p.Plan(time.Second, map[wire.Key]int{key: tc.come}, 0, tc.others)
+				plan = e.Plan(time.Second, map[wire.Key]int{key: tc.arrived}, 0, tc.canForward)
 				if plan.Forward < 0 {
-					t.Fatalf("%.1f are handed on", plan.Forward)
+					t.Fatalf("Forward is %.1f", plan.Forward)
 				}
-				p.ObserveDelay(0, 13*time.Millisecond)
+				e.ObserveDelay(0, 13*time.Millisecond)
 			}
-			if plan.PerAccount < tc.each[0] || plan.PerAccount > tc.each[1] || plan.Forward < tc.forward[0] || plan.Forward > tc.forward[1] {
-				t.Errorf("%.0f of an account are worked on and %.0f handed on a second", plan.PerAccount, plan.Forward)
+			if plan.PerAccount < tc.perAccount[0] || plan.PerAccount > tc.perAccount[1] || plan.Forward < tc.forward[0] || plan.Forward > tc.forward[1] {
+				t.Errorf("plan admits %.0f requests per second of an account and forwards %.0f", plan.PerAccount, plan.Forward)
 			}
 		})
 	}
--- a/pkg/admit/paused_test.go
+++ b/pkg/admit/paused_test.go
@@ -9,8 +9,7 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// pausedHolder is a router that asked the owner of a backend server for a place and stood
-// still before it heard the answer.
+// pausedHolder is a router that pauses between its slot request and the owner's reply.
 type pausedHolder struct {
 	t    *testing.T
 	core *admit.Core
@@ -26,13 +25,13 @@
 	h.step(admit.TableUpdate{Table: &table.Table{Revision: 1, Backends: []table.Backend{b}}})
 	h.step(admit.Routers{List: []admit.Router{{Address: otherOwner, Zone: "a", Capacity: 1}}})
 	if len(h.core.Owned()) > 0 {
-		t.Fatal("it owns the backend server itself")
+		t.Fatal("this router owns the backend server")
 	}
 	h.run(2 * time.Second)
 	return h
 }
 
-// run lets time pass, with a step each 10 ms.
+// run advances time with a tick every 10 ms.
 func (h *pausedHolder) run(d time.Duration) (all []admit.Action) {
 	for end := h.now + d; h.now < end; h.now += tick {
 		all = append(all, h.step(admit.Tick{})...)
@@ -44,7 +43,7 @@
 	return append([]admit.Action(nil), h.core.Step(h.now, ev)...)
 }
 
-// ask has a request arrive and returns its id.
+// ask adds a request and returns its ID.
 func (h *pausedHolder) ask(deadline time.Duration) uint64 {
 	r := admit.Request{ID: 1, Service: service, Target: 400 * time.Millisecond, MaxWait: deadline, Deadline: h.now + deadline}
 	asks := 0
@@ -54,7 +53,7 @@
 		}
 	}
 	if asks != 1 {
-		h.t.Fatalf("%d questions to the owner", asks)
+		h.t.Fatalf("%d slot requests to the owner, want 1", asks)
 	}
 	return r.ID
 }
@@ -63,8 +62,9 @@
 	return h.step(admit.Message{From: otherOwner, Msg: &wire.Reply{ID: id, Server: h.key, State: wire.PlaceGranted}})
 }
 
-// has reports which of the actions there are.
-func has(all []admit.Action) (starts, refuses bool, toOwner int) {
+// summarize returns whether the actions start or refuse a request, and how many messages go to
+// the owner.
+func summarize(all []admit.Action) (starts, refuses bool, toOwner int) {
 	for _, a := range all {
 		switch a := a.(type) {
 		case admit.Start:
@@ -80,52 +80,50 @@
 	return starts, refuses, toOwner
 }
 
-// TestPlaceLapsesInAPause: a router that had asked for a place stood still for seconds, and
-// used the place when it woke, though the owner had given it to another after three seconds
-// without a word. More requests ran at the backend server than it has slots.
-func TestPlaceLapsesInAPause(t *testing.T) {
+// TestGrantExpiresDuringPause: a router must not use a slot that was granted before a long
+// pause, since the owner has reassigned it.
+func TestGrantExpiresDuringPause(t *testing.T) {
 	tests := map[string]struct {
 		pause, deadline time.Duration
 		starts, refuses bool
 	}{
-		"no pause":                     {0, time.Minute, true, false},
-		"a short one":                  {300 * time.Millisecond, time.Minute, true, false},
-		"as long as places are kept":   {4 * time.Second, time.Minute, false, false},
-		"beyond the caller's deadline": {400 * time.Millisecond, 350 * time.Millisecond, false, true},
+		"no pause":                    {0, time.Minute, true, false},
+		"short pause":                 {300 * time.Millisecond, time.Minute, true, false},
+		"longer than grants are kept": {4 * time.Second, time.Minute, false, false},
+		"beyond the deadline":         {400 * time.Millisecond, 350 * time.Millisecond, false, true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := newPausedHolder(t)
 			id := h.ask(tc.deadline)
 			h.now += tc.pause
-			starts, refuses, told := has(h.grant(id))
+			starts, refuses, notified := summarize(h.grant(id))
 			if starts != tc.starts || refuses != tc.refuses {
-				t.Errorf("it starts: %v, want %v; it is refused: %v, want %v", starts, tc.starts, refuses, tc.refuses)
+				t.Errorf("started %v, want %v; refused %v, want %v", starts, tc.starts, refuses, tc.refuses)
 			}
-			if !tc.starts && told == 0 {
-				t.Error("the owner does not hear that the place is not used")
+			if !tc.starts && notified == 0 {
+				t.Error("the owner is not told that the slot is unused")
 			}
 		})
 	}
 }
 
-// TestOwnPauseIsNoSilenceOfTheOwner: a router that woke took the owner of a backend server for
-// unresponsive, since 40 ms had passed by its clock, and sent its requests there on its own
-// estimate, as all that wake together do; the owner's answers lay in its sockets.
-func TestOwnPauseIsNoSilenceOfTheOwner(t *testing.T) {
+// TestOwnPauseIsNoOwnerTimeout: a pause of the router itself must not count as a missing reply
+// of the owner.
+func TestOwnPauseIsNoOwnerTimeout(t *testing.T) {
 	h := newPausedHolder(t)
 	id := h.ask(time.Minute)
 	h.now += 500 * time.Millisecond
-	if starts, _, _ := has(h.run(30 * time.Millisecond)); starts {
-		t.Error("it is sent without the owner's word")
+	if starts, _, _ := summarize(h.run(30 * time.Millisecond)); starts {
+		t.Error("started without a grant")
 	}
-	if starts, _, _ := has(h.grant(id)); !starts {
-		t.Error("the owner's word is not taken")
+	if starts, _, _ := summarize(h.grant(id)); !starts {
+		t.Error("not started after the grant")
 	}
 	h = newPausedHolder(t)
 	h.ask(time.Minute)
 	h.now += 500 * time.Millisecond
-	if starts, _, _ := has(h.run(200 * time.Millisecond)); !starts {
-		t.Error("an owner that does not reply after the pause holds it up")
+	if starts, _, _ := summarize(h.run(200 * time.Millisecond)); !starts {
+		t.Error("not started although the owner does not reply after the pause")
 	}
 }
--- a/pkg/admit/peer.go
+++ b/pkg/admit/peer.go
@@ -144,19 +144,19 @@
 
 // Snapshot collects the state to report, and clears the queued copies.
 func (c *Core) Snapshot(now time.Duration) *Snapshot {
-	t := &Snapshot{now: now, core: c, own: c.accounts.ownFlows(now), copies: c.newCopies, zoneCopies: c.zoneCopies, remoteCopies: c.remoteCopies}
+	s := &Snapshot{now: now, core: c, own: c.accounts.ownFlows(now), copies: c.newCopies, zoneCopies: c.zoneCopies, remoteCopies: c.remoteCopies}
 	c.newCopies, c.zoneCopies, c.remoteCopies = nil, nil, nil
-	t.zone, t.others = maps.Clone(t.own), map[wire.Key]flow{}
+	s.zone, s.others = maps.Clone(s.own), map[wire.Key]flow{}
 	for source, report := range c.reports {
 		switch {
 		case source.scope == wire.ScopeOwn:
-			addFlows(t.zone, report.flows, 1)
+			addFlows(s.zone, report.flows, 1)
 		case source.scope == wire.ScopeZone && source.name != c.opt.self.Zone:
-			addFlows(t.others, report.flows, 1)
+			addFlows(s.others, report.flows, 1)
 		}
 	}
-	addFlows(t.others, t.zone, 1)
-	return t
+	addFlows(s.others, s.zone, 1)
+	return s
 }
 
 func addFlows(sum, flows map[wire.Key]flow, sign float64) {
@@ -169,15 +169,15 @@
 }
 
 // Flows returns the flows of a scope for a receiver.
-func (t *Snapshot) Flows(scope wire.Scope, receiver string) []wire.AccountFlow {
+func (s *Snapshot) Flows(scope wire.Scope, receiver string) []wire.AccountFlow {
 	switch scope {
 	case wire.ScopeOwn:
-		return largestFlows(t.own)
+		return largestFlows(s.own)
 	case wire.ScopeZone:
-		return largestFlows(t.zone)
+		return largestFlows(s.zone)
 	case wire.ScopeRest:
-		others := maps.Clone(t.others)
-		if report, ok := t.core.reports[reportSource{wire.ScopeOwn, receiver}]; ok {
+		others := maps.Clone(s.others)
+		if report, ok := s.core.reports[reportSource{wire.ScopeOwn, receiver}]; ok {
 			addFlows(others, report.flows, -1)
 		}
 		return largestFlows(others)
@@ -187,14 +187,14 @@
 }
 
 // Copies returns the copies made by this router.
-func (t *Snapshot) Copies() []wire.Copy { return t.copies }
+func (s *Snapshot) Copies() []wire.Copy { return s.copies }
 
 // ZoneCopies returns the copies made in this zone, for relays of other zones.
-func (t *Snapshot) ZoneCopies() []wire.Copy { return slices.Concat(t.copies, t.zoneCopies) }
+func (s *Snapshot) ZoneCopies() []wire.Copy { return slices.Concat(s.copies, s.zoneCopies) }
 
 // AllCopies returns the copies made by all routers, for routers of this zone.
-func (t *Snapshot) AllCopies() []wire.Copy {
-	return slices.Concat(t.copies, t.zoneCopies, t.remoteCopies)
+func (s *Snapshot) AllCopies() []wire.Copy {
+	return slices.Concat(s.copies, s.zoneCopies, s.remoteCopies)
 }
 
 // maxFlows bounds the accounts in a report. The others are summed up under account 0.
--- a/pkg/admit/place.go
+++ b/pkg/admit/place.go
@@ -76,7 +76,7 @@
 // meetsTarget reports whether the first event of a request is predicted within a fraction of
 // its remaining target.
 func (c *Core) meetsTarget(svc *service, s *server, a *slotRequest, toRead int64, fraction float64) bool {
-	left := (a.due - c.now).Seconds()
+	remaining := (a.due - c.now).Seconds()
 	ahead := s.owned.unread
 	if c.exceedsShare(a.Account) {
 		// Count the load that this request adds, so that other accounts find a slot at once.
@@ -86,7 +86,7 @@
 		return false
 	}
 	expected := s.health.slowness() * svc.latency.predict(s.owned.unread+toRead).Seconds()
-	return expected <= targetMargin*fraction*left
+	return expected <= targetMargin*fraction*remaining
 }
 
 // admitsLongPrompt reports whether a prompt takes too long to read to meet its target anywhere,
--- a/pkg/admit/reborn_test.go
+++ b/pkg/admit/reborn_test.go
@@ -8,33 +8,33 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// rebornAs has the first backend server start again under its name.
-func rebornAs(w *world, born int64) {
-	w.change(func(t *table.Table) { t.Backends[0].Born = born })
+// restartServer replaces the first backend server by a new incarnation.
+func restartServer(w *world, born int64) {
+	w.updateTable(func(t *table.Table) { t.Backends[0].Born = born })
 }
 
-// TestServerThatStartsAgain has a backend server that was full, untrusted, and kept a
-// prompt's shared parts start again under its name and address, without having lapsed.
-func TestServerThatStartsAgain(t *testing.T) {
+// TestRestartedServerIsNew: after a restart under the same name and address, a backend server
+// must have no load, no ejection and no cached prefixes.
+func TestRestartedServerIsNew(t *testing.T) {
 	const before = 1000
 	tests := map[string]struct {
-		starts []int64
-		// fresh says that nothing of before is known of it.
-		fresh bool
+		births []int64
+		// isNew says that no state is kept.
+		isNew bool
 	}{
-		"later":                  {[]int64{2000}, true},
-		"its clock was set back": {[]int64{500}, true},
-		"twice in a second":      {[]int64{2000, 2100}, true},
-		"the same start":         {[]int64{before}, false},
+		"later":                 {[]int64{2000}, true},
+		"clock set back":        {[]int64{500}, true},
+		"twice within a second": {[]int64{2000, 2100}, true},
+		"same incarnation":      {[]int64{before}, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(1, 1, zones[:1], 1)
-			w.hold = time.Hour
-			rebornAs(w, before)
+			w.streamTime = time.Hour
+			restartServer(w, before)
 			router, server := w.order[0], w.table.Backends[0].Name
 			for range 40 {
-				w.ask(router, admit.Request{Prefix: 7, Prompt: 900, Shared: 300, Output: 20})
+				w.submit(router, admit.Request{Prefix: 7, Prompt: 900, Shared: 300, Output: 20})
 				w.run(w.now + 20*time.Millisecond)
 			}
 			c := w.cores[router]
@@ -47,18 +47,18 @@
 				break
 			}
 			if len(c.Ejected()) == 0 {
-				t.Fatal("it is trusted though it fell silent")
+				t.Fatal("not ejected after a stall")
 			}
-			for _, born := range tc.starts {
-				rebornAs(w, born)
+			for _, born := range tc.births {
+				restartServer(w, born)
 			}
-			if untrusted := len(c.Ejected()) > 0; untrusted == tc.fresh {
-				t.Errorf("untrusted: %v", untrusted)
+			if ejected := len(c.Ejected()) > 0; ejected == tc.isNew {
+				t.Errorf("ejected: %v", ejected)
 			}
-			last := tc.starts[len(tc.starts)-1]
-			w.ask(router, admit.Request{Prefix: 7, Prompt: 900, Shared: 300, Output: 20})
+			last := tc.births[len(tc.births)-1]
+			w.submit(router, admit.Request{Prefix: 7, Prompt: 900, Shared: 300, Output: 20})
 			w.run(w.now + 50*time.Millisecond)
-			if !tc.fresh {
+			if !tc.isNew {
 				return
 			}
 			running, ahead := 0, int64(0)
@@ -69,10 +69,10 @@
 				}
 			}
 			if running == 0 || c.RunningByBackend()[server] != running {
-				t.Errorf("%d requests were started there, %d count", running, c.RunningByBackend()[server])
+				t.Errorf("%d requests started there, %d are counted", running, c.RunningByBackend()[server])
 			}
 			if ahead < 900 {
-				t.Errorf("at most %d tokens are ahead: the prompt's shared parts count as kept", ahead)
+				t.Errorf("at most %d tokens are ahead: the shared prefix counts as cached", ahead)
 			}
 		})
 	}
--- a/pkg/admit/request.go
+++ b/pkg/admit/request.go
@@ -157,7 +157,7 @@
 		return
 	}
 	if r.server == nil {
-		c.drop(r)
+		c.discard(r)
 		return
 	}
 	c.endTrial(r, false)
@@ -265,8 +265,8 @@
 	c.waiting = slices.DeleteFunc(c.waiting, func(w *request) bool { return w == r })
 }
 
-// drop removes a waiting request.
-func (c *Core) drop(r *request) {
+// discard removes a waiting request.
+func (c *Core) discard(r *request) {
 	delete(c.requests, r.ID)
 	c.removeWaiting(r)
 	c.cancelAsks(r, nil)
@@ -276,7 +276,7 @@
 }
 
 func (c *Core) refuse(r *request, err *verdict.Error) {
-	c.drop(r)
+	c.discard(r)
 	a := Refuse{ID: r.ID, Err: err, Waited: c.now - r.arrivedAt}
 	if err.Code == codeCrashes || err.Code == codeOnTrial {
 		a.Crashes = c.suspects.Status(c.now, r.Digest).Crashes
--- a/pkg/admit/seek.go
+++ b/pkg/admit/seek.go
@@ -31,7 +31,7 @@
 	// smallPrefixFraction is the fraction of a prompt up to which reading the shared prefix
 	// again is cheap.
 	smallPrefixFraction = 0.25
-	// maxAsks bounds the open slot requests of one request.
+	// maxAsks bounds the slot requests per request.
 	maxAsks = 4
 	// busyPeriod is how long a backend server without a free slot is skipped if there are
 	// others.
--- a/pkg/admit/server.go
+++ b/pkg/admit/server.go
@@ -83,8 +83,8 @@
 // to read them.
 const unreadTTL = 100 * time.Millisecond
 
-// unreadReported returns the last reported number of unread tokens, 0 if it has expired.
-func (s *server) unreadReported(now time.Duration) int64 {
+// reportedUnread returns the last reported number of unread tokens, 0 if it has expired.
+func (s *server) reportedUnread(now time.Duration) int64 {
 	if now-s.reportedAt > unreadTTL {
 		return 0
 	}
--- a/pkg/admit/shares_test.go
+++ b/pkg/admit/shares_test.go
@@ -9,26 +9,26 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// TestLeastServed has other routers tell what accounts ask for and begin.
-func TestLeastServed(t *testing.T) {
-	flow := func(name string, asked, begun uint32) wire.AccountFlow {
-		return wire.AccountFlow{Account: wire.KeyOf(name), Asked: asked, Begun: begun}
+// TestLeastServedAccount checks the least served account for flows that other routers report.
+func TestLeastServedAccount(t *testing.T) {
+	flow := func(name string, demand, started uint32) wire.AccountFlow {
+		return wire.AccountFlow{Account: wire.KeyOf(name), Asked: demand, Begun: started}
 	}
 	tests := map[string]struct {
-		flows []wire.AccountFlow
-		least string
-		part  float64
+		flows    []wire.AccountFlow
+		least    string
+		fraction float64
 	}{
-		"nobody asks":              {nil, "", 1},
-		"all get what they ask":    {[]wire.AccountFlow{flow("a", 100, 100), flow("b", 50, 50)}, "", 1},
-		"a flood that gets less":   {[]wire.AccountFlow{flow("a", 1000, 100), flow("b", 400, 400)}, "a", 0.25},
-		"of what it asks":          {[]wire.AccountFlow{flow("a", 200, 100), flow("b", 400, 400)}, "a", 0.5},
-		"the best served waits":    {[]wire.AccountFlow{flow("a", 1000, 400), flow("b", 300, 300)}, "a", 1},
-		"begun a moment later":     {[]wire.AccountFlow{flow("a", 120, 100), flow("b", 400, 400)}, "", 1},
-		"the rest told as one":     {[]wire.AccountFlow{{Asked: 5000, Begun: 4000}, flow("a", 400, 100), flow("b", 100, 100)}, "a", 1},
-		"two that wait":            {[]wire.AccountFlow{flow("a", 900, 300), flow("b", 900, 200), flow("c", 400, 400)}, "b", 0.5},
-		"it has begun nothing":     {[]wire.AccountFlow{flow("a", 900, 0), flow("b", 900, 200)}, "a", 0},
-		"nothing has begun at all": {[]wire.AccountFlow{flow("a", 900, 0)}, "", 1},
+		"no demand":                        {nil, "", 1},
+		"all demand met":                   {[]wire.AccountFlow{flow("a", 100, 100), flow("b", 50, 50)}, "", 1},
+		"less than the best served":        {[]wire.AccountFlow{flow("a", 1000, 100), flow("b", 400, 400)}, "a", 0.25},
+		"less than its demand":             {[]wire.AccountFlow{flow("a", 200, 100), flow("b", 400, 400)}, "a", 0.5},
+		"best served account waits":        {[]wire.AccountFlow{flow("a", 1000, 400), flow("b", 300, 300)}, "a", 1},
+		"started slightly later":           {[]wire.AccountFlow{flow("a", 120, 100), flow("b", 400, 400)}, "", 1},
+		"with aggregate of other accounts": {[]wire.AccountFlow{{Asked: 5000, Begun: 4000}, flow("a", 400, 100), flow("b", 100, 100)}, "a", 1},
+		"two waiting accounts":             {[]wire.AccountFlow{flow("a", 900, 300), flow("b", 900, 200), flow("c", 400, 400)}, "b", 0.5},
+		"nothing started":                  {[]wire.AccountFlow{flow("a", 900, 0), flow("b", 900, 200)}, "a", 0},
+		"nothing started by any account":   {[]wire.AccountFlow{flow("a", 900, 0)}, "", 1},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -39,8 +39,8 @@
 			if tc.least != "" {
 				want = wire.KeyOf(tc.least)
 			}
-			if math.Abs(sh.LeastServedFraction-tc.part) > 0.001 || tc.part < 1 && sh.LeastServedAccount != want {
-				t.Errorf("least served %v with %.3f, want %q with %.3f", sh.LeastServedAccount, sh.LeastServedFraction, tc.least, tc.part)
+			if math.Abs(sh.LeastServedFraction-tc.fraction) > 0.001 || tc.fraction < 1 && sh.LeastServedAccount != want {
+				t.Errorf("least served account %v with %.3f, want %q with %.3f", sh.LeastServedAccount, sh.LeastServedFraction, tc.least, tc.fraction)
 			}
 		})
 	}
--- a/pkg/admit/shortest.go
+++ b/pkg/admit/shortest.go
@@ -14,35 +14,35 @@
 const minWindow = 2 * time.Second
 
 // observe adds a sample.
-func (s *windowMin) observe(now, d time.Duration) {
-	s.rotate(now)
-	if d > 0 && (s.current == 0 || d < s.current) {
-		s.current = d
+func (w *windowMin) observe(now, d time.Duration) {
+	w.rotate(now)
+	if d > 0 && (w.current == 0 || d < w.current) {
+		w.current = d
 	}
 }
 
 // get returns the minimum of the last two windows, or defaultTarget without samples.
-func (s *windowMin) get(now time.Duration) time.Duration {
-	s.rotate(now)
+func (w *windowMin) get(now time.Duration) time.Duration {
+	w.rotate(now)
 	switch {
-	case s.current == 0 && s.previous == 0:
+	case w.current == 0 && w.previous == 0:
 		return defaultTarget
-	case s.current == 0:
-		return s.previous
-	case s.previous == 0:
-		return s.current
+	case w.current == 0:
+		return w.previous
+	case w.previous == 0:
+		return w.current
 	default:
-		return min(s.current, s.previous)
+		return min(w.current, w.previous)
 	}
 }
 
-func (s *windowMin) rotate(now time.Duration) {
-	if now-s.startedAt < minWindow {
+func (w *windowMin) rotate(now time.Duration) {
+	if now-w.startedAt < minWindow {
 		return
 	}
-	s.previous, s.current = s.current, 0
-	if now-s.startedAt >= 2*minWindow {
-		s.previous = 0
+	w.previous, w.current = w.current, 0
+	if now-w.startedAt >= 2*minWindow {
+		w.previous = 0
 	}
-	s.startedAt = now
+	w.startedAt = now
 }
--- a/pkg/admit/suspects.go
+++ b/pkg/admit/suspects.go
@@ -33,19 +33,19 @@
 
 // emitCleared emits an action for each request whose crashes were removed.
 func (c *Core) emitCleared() {
-	for _, x := range c.suspects.DrainCleared() {
-		c.emit(SuspectCleared{x})
+	for _, cleared := range c.suspects.DrainCleared() {
+		c.emit(SuspectCleared{cleared})
 	}
 }
 
 // recordCrash records that a backend server crashed while a request of this router was in
 // flight there.
-func (c *Core) recordCrash(s *server, e suspect.Crash) {
-	e.Server = suspect.Server(s.key)
-	if c.suspects.Record(c.now, e) {
-		c.emit(SuspectAdded{Digest: e.Digest, Backend: s.Name, Crashes: c.suspects.Status(c.now, e.Digest).Crashes})
-		e.Extra = c.suspects.ExtraAllowed(e.Digest)
-		appendBounded(&c.ownUpdates.crashes, e)
+func (c *Core) recordCrash(s *server, crash suspect.Crash) {
+	crash.Server = suspect.Server(s.key)
+	if c.suspects.Record(c.now, crash) {
+		c.emit(SuspectAdded{Digest: crash.Digest, Backend: s.Name, Crashes: c.suspects.Status(c.now, crash.Digest).Crashes})
+		crash.Extra = c.suspects.ExtraAllowed(crash.Digest)
+		appendBounded(&c.ownUpdates.crashes, crash)
 	}
 }
 
@@ -58,8 +58,8 @@
 	started, answered, ended []uint64
 }
 
-func (n *suspectUpdates) empty() bool {
-	return len(n.crashes)+len(n.completed)+len(n.started)+len(n.answered)+len(n.ended) == 0
+func (u *suspectUpdates) empty() bool {
+	return len(u.crashes)+len(u.completed)+len(u.started)+len(u.answered)+len(u.ended) == 0
 }
 
 // appendBounded appends to a list of queued updates unless it is full.
@@ -90,25 +90,25 @@
 	c.handleTrials(from, m)
 }
 
-func (c *Core) applyCrash(from string, x wire.SuspectEnd) {
-	if !isValidAge(x.AgoMillis) || !isValidAge(x.SentMillis) {
+func (c *Core) applyCrash(from string, m wire.SuspectEnd) {
+	if !isValidAge(m.AgoMillis) || !isValidAge(m.SentMillis) {
 		return
 	}
-	at := c.now - time.Duration(x.AgoMillis)*time.Millisecond
-	e := suspect.Crash{
-		Digest: suspect.Digest(x.Digest), Server: suspect.Server(x.Server), At: at, Sent: at - time.Duration(x.SentMillis)*time.Millisecond,
-		Unanswered: x.Unanswered, Extra: x.More,
+	at := c.now - time.Duration(m.AgoMillis)*time.Millisecond
+	crash := suspect.Crash{
+		Digest: suspect.Digest(m.Digest), Server: suspect.Server(m.Server), At: at, Sent: at - time.Duration(m.SentMillis)*time.Millisecond,
+		Unanswered: m.Unanswered, Extra: m.More,
 	}
 	name := ""
-	if s, ok := c.servers[x.Server]; ok {
+	if s, ok := c.servers[m.Server]; ok {
 		name = s.Name
-		if s.alive.contains(e.At) {
+		if s.alive.contains(crash.At) {
 			return
 		}
 	}
-	if c.suspects.Record(c.now, e) {
-		c.emit(SuspectAdded{Digest: e.Digest, Backend: name, Crashes: c.suspects.Status(c.now, e.Digest).Crashes, From: from})
-		appendBounded(&c.relayUpdates.crashes, e)
+	if c.suspects.Record(c.now, crash) {
+		c.emit(SuspectAdded{Digest: crash.Digest, Backend: name, Crashes: c.suspects.Status(c.now, crash.Digest).Crashes, From: from})
+		appendBounded(&c.relayUpdates.crashes, crash)
 	}
 }
 
@@ -162,8 +162,8 @@
 
 func crashMessages(now time.Duration, crashes []suspect.Crash) []wire.SuspectEnd {
 	list := make([]wire.SuspectEnd, 0, len(crashes))
-	for _, e := range crashes {
-		list = append(list, wire.SuspectEnd{Digest: uint64(e.Digest), Server: wire.Key(e.Server), AgoMillis: (now - e.At).Milliseconds(), SentMillis: (e.At - e.Sent).Milliseconds(), Unanswered: e.Unanswered, More: e.Extra})
+	for _, crash := range crashes {
+		list = append(list, wire.SuspectEnd{Digest: uint64(crash.Digest), Server: wire.Key(crash.Server), AgoMillis: (now - crash.At).Milliseconds(), SentMillis: (crash.At - crash.Sent).Milliseconds(), Unanswered: crash.Unanswered, More: crash.Extra})
 	}
 	return list
 }
@@ -172,4 +172,4 @@
 func (c *Core) SuspectCount() int { return c.suspects.Len() }
 
 // Suspects returns the crashes of the requests with the most crashes.
-func (c *Core) Suspects(most int) []suspect.Crash { return c.suspects.TopCrashes(most) }
+func (c *Core) Suspects(limit int) []suspect.Crash { return c.suspects.TopCrashes(limit) }
--- a/pkg/admit/suspects_fuzz_test.go
+++ b/pkg/admit/suspects_fuzz_test.go
@@ -9,9 +9,8 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// FuzzSuspects has a router take in any frame that decodes as something told of ends of
-// servers: it keeps no more than one message holds of each, goes on, and refuses nobody
-// else's request.
+// FuzzSuspects: crash reports with any content must be bounded per message and must not block
+// unrelated requests.
 func FuzzSuspects(f *testing.F) {
 	var buf bytes.Buffer
 	e := wire.NewEncoder(&buf)
@@ -30,22 +29,22 @@
 			return
 		}
 		w := newWorld(1, 1, []string{"a"}, 2)
-		c, told := w.cores[w.order[0]], 0
+		c, messages := w.cores[w.order[0]], 0
 		for _, m := range msgs {
 			switch m.(type) {
 			case *wire.Suspects, *wire.Leaving:
-				told++
+				messages++
 				w.step(w.order[0], admit.Message{From: "other", Msg: m})
 			}
 		}
-		if n := c.SuspectCount(); n > 256*told {
-			t.Fatalf("%d requests are remembered of %d messages", n, told)
+		if n := c.SuspectCount(); n > 256*messages {
+			t.Fatalf("%d requests have recorded crashes after %d messages", n, messages)
 		}
 		leaving, _ := c.Notices()
-		id := w.ask(w.order[0], admit.Request{Prompt: 900})
+		id := w.submit(w.order[0], admit.Request{Prompt: 900})
 		w.run(w.now + 50*time.Millisecond)
 		if _, started := w.starts[id]; !started && len(leaving) < 2 {
-			t.Fatal("a request without ends is not sent")
+			t.Fatal("a request without crashes did not start")
 		}
 	})
 }
--- a/pkg/admit/upkeep_bench_test.go
+++ b/pkg/admit/upkeep_bench_test.go
@@ -9,11 +9,11 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// upkeepSizes are routers and backend servers, in three zones.
-var upkeepSizes = [][2]int{{30, 300}, {100, 1000}, {300, 3000}}
+// fleetSizes are numbers of routers and backend servers, in three zones.
+var fleetSizes = [][2]int{{30, 300}, {100, 1000}, {300, 3000}}
 
-// upkeepFleet is one router of a fleet, what it hears of the others, and the table.
-func upkeepFleet(routers, servers int) (*admit.Core, []admit.Router, *table.Table) {
+// newLargeFleet returns the core of one router, the list of the others, and the table.
+func newLargeFleet(routers, servers int) (*admit.Core, []admit.Router, *table.Table) {
 	list := make([]admit.Router, 0, routers)
 	for i := range routers {
 		list = append(list, admit.Router{Address: fmt.Sprintf("10.0.%d.%d:8785", i/200, i%200), Zone: fmt.Sprint("z", i%3), Capacity: 0.2})
@@ -31,11 +31,12 @@
 	return c, list[1:], t
 }
 
-// BenchmarkRouterLeavesAndJoins has a router hear that another one left and came back.
+// BenchmarkRouterLeavesAndJoins measures the changes of owners when a router leaves and
+// returns.
 func BenchmarkRouterLeavesAndJoins(b *testing.B) {
-	for _, n := range upkeepSizes {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n[0]), func(b *testing.B) {
-			c, list, _ := upkeepFleet(n[0], n[1])
+			c, list, _ := newLargeFleet(n[0], n[1])
 			for b.Loop() {
 				c.Step(time.Hour, admit.Routers{List: list[1:]})
 				c.Step(time.Hour, admit.Routers{List: list})
@@ -44,12 +45,11 @@
 	}
 }
 
-// BenchmarkServerChanges puts a table in force in which one backend server's mark is
-// another one.
-func BenchmarkServerChanges(b *testing.B) {
-	for _, n := range upkeepSizes {
+// BenchmarkServerMarkChanges measures a table update that changes one backend server's mark.
+func BenchmarkServerMarkChanges(b *testing.B) {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n[1]), func(b *testing.B) {
-			c, _, t := upkeepFleet(n[0], n[1])
+			c, _, t := newLargeFleet(n[0], n[1])
 			marks := []table.Mark{table.Leaving, table.Serving}
 			for i := 0; b.Loop(); i++ {
 				t.Backends[n[1]/2].Mark = marks[i%2]
@@ -59,11 +59,11 @@
 	}
 }
 
-// BenchmarkIdleTick lets time pass at a router for which nothing is under way.
+// BenchmarkIdleTick measures a tick of a router without requests.
 func BenchmarkIdleTick(b *testing.B) {
-	for _, n := range upkeepSizes {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n[1]), func(b *testing.B) {
-			c, _, _ := upkeepFleet(n[0], n[1])
+			c, _, _ := newLargeFleet(n[0], n[1])
 			c.Step(2*time.Hour, admit.Tick{})
 			for b.Loop() {
 				c.Step(2*time.Hour, admit.Tick{})
--- a/pkg/admit/view.go
+++ b/pkg/admit/view.go
@@ -62,7 +62,7 @@
 }
 
 // dropUnlisted removes the backend servers that the table no longer lists, except those with
-// requests of this router in flight. It reports whether any of them was listed before.
+// requests of this router in flight. It reports whether the lists of servers have to be rebuilt.
 func (c *Core) dropUnlisted() bool {
 	changed := false
 	for key, s := range c.servers {
--- a/pkg/admit/weights.go
+++ b/pkg/admit/weights.go
@@ -346,15 +346,15 @@
 }
 
 // Uses returns the account usage of a scope for a receiver.
-func (t *Snapshot) Uses(scope wire.Scope, receiver string) []wire.AccountUse {
-	if t.core.weighted == nil {
+func (s *Snapshot) Uses(scope wire.Scope, receiver string) []wire.AccountUse {
+	if s.core.weighted == nil {
 		return nil
 	}
 	var list []wire.AccountUse
-	for k, u := range t.core.weighted.usages {
+	for k, u := range s.core.weighted.usages {
 		x := wire.AccountUse{Service: k.service, Account: k.account, Served: u.served, Requests: u.requests, Running: u.running, Waiting: u.waiting}
 		for source, o := range u.peers {
-			if t.core.includesSource(source, scope, receiver) {
+			if s.core.includesSource(source, scope, receiver) {
 				x.Served += o.Served
 				x.Requests += o.Requests
 				x.Running += o.Running
--- a/pkg/admit/world_test.go
+++ b/pkg/admit/world_test.go
@@ -13,106 +13,106 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// world runs several cores on one simulated clock, with a network that may
-// delay and lose messages and engines that read prompts one after the other.
+// world simulates a fleet on a simulated clock. Its network may delay and lose messages, and
+// its engines read prompts one after the other.
 type world struct {
 	now   time.Duration
 	rng   *rand.Rand
 	table *table.Table
-	// sent are the times at which requests were sent to a backend server, by name.
-	sent    map[string][]time.Duration
-	events  timeline
-	seq     int
-	cores   map[string]*admit.Core
-	order   []string
-	down    map[string]bool
-	cut     map[[2]string]bool
-	engines map[string]*engine
-	loss    float64
-	nextID  uint64
-	// starts and refusals are what the cores decided, by request.
-	starts   map[uint64]startOf
+	// sentTimes are the times at which requests were sent, by backend server.
+	sentTimes map[string][]time.Duration
+	events    eventQueue
+	seq       int
+	cores     map[string]*admit.Core
+	order     []string
+	down      map[string]bool
+	blocked   map[[2]string]bool
+	engines   map[string]*engine
+	loss      float64
+	nextID    uint64
+	// starts and refusals are the decisions of the cores, by request.
+	starts   map[uint64]startRecord
 	refusals map[uint64]time.Duration
-	asked    map[uint64]askedOf
-	// hold is how long an answer goes on after its first event, base the time
-	// to that event without a prompt.
-	hold, base time.Duration
-	// crash is what ends servers, nil if nothing does.
-	crash *crashes
-	// tokens is what each request uses, and ended what each account's have used in all.
-	tokens int64
-	ended  map[string]int64
-	// weighed says that routers tell each other what accounts have used.
-	weighed bool
+	requests map[uint64]arrival
+	// streamTime is the time from the first event to the end of a response, baseLatency that to
+	// the first event of an empty prompt.
+	streamTime, baseLatency time.Duration
+	// crashes simulates crashes of backend servers, nil if there are none.
+	crashes *crashSim
+	// tokens is the usage of each request, completedTokens the total usage by account.
+	tokens          int64
+	completedTokens map[string]int64
+	// weighted says that routers report account usage to each other.
+	weighted bool
 }
 
-type askedOf struct {
+type arrival struct {
 	router  string
 	request admit.Request
 	at      time.Duration
 }
 
-type startOf struct {
+type startRecord struct {
 	admit.Start
 	router string
 	at     time.Duration
-	// first is the time from the arrival to the first event, 0 before it.
+	// first is the time from the arrival to the first event, 0 before.
 	first time.Duration
 }
 
 // engine reads prompts one after the other at a steady rate.
 type engine struct {
 	perToken time.Duration
-	free     time.Duration
-	kept     map[uint64]bool
+	freeAt   time.Duration
+	cached   map[uint64]bool
 	running  int
 	peak     int
 }
 
-type timed struct {
+type scheduledEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type timeline []timed
+type eventQueue []scheduledEvent
 
-func (t timeline) Len() int { return len(t) }
-func (t timeline) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].seq < t[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (t timeline) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *timeline) Push(x any)   { *t = append(*t, x.(timed)) }
-func (t *timeline) Pop() any {
-	old := *t
-	last := old[len(old)-1]
-	*t = old[:len(old)-1]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	events := *q
+	last := events[len(events)-1]
+	*q = events[:len(events)-1]
 	return last
 }
 
 const (
-	tick    = 10 * time.Millisecond
-	tellIn  = 100 * time.Millisecond
-	netTime = time.Millisecond
-	service = "reader"
-	// baseTime is how long an engine needs for a first event besides reading.
-	baseTime = 20 * time.Millisecond
+	tick           = 10 * time.Millisecond
+	reportInterval = 100 * time.Millisecond
+	netLatency     = time.Millisecond
+	service        = "reader"
+	// defaultBaseLatency is the time to the first event of an empty prompt.
+	defaultBaseLatency = 20 * time.Millisecond
 )
 
-// newWorld starts routers in zones, named "zone-0" and so on, and a backend
-// server for each address in servers, given as "zone/name".
+// newWorld starts routers named ZONE-0 and so on in each zone, and backend servers named
+// ZONE-s0 and so on.
 func newWorld(seed uint64, routersEach int, zones []string, serversEach int, opts ...admit.Option) *world {
 	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 1)), cores: map[string]*admit.Core{}, down: map[string]bool{}, cut: map[[2]string]bool{},
-		engines: map[string]*engine{}, starts: map[uint64]startOf{}, refusals: map[uint64]time.Duration{}, asked: map[uint64]askedOf{},
-		hold: 300 * time.Millisecond, base: baseTime, sent: map[string][]time.Duration{}, ended: map[string]int64{},
+		rng: rand.New(rand.NewPCG(seed, 1)), cores: map[string]*admit.Core{}, down: map[string]bool{}, blocked: map[[2]string]bool{},
+		engines: map[string]*engine{}, starts: map[uint64]startRecord{}, refusals: map[uint64]time.Duration{}, requests: map[uint64]arrival{},
+		streamTime: 300 * time.Millisecond, baseLatency: defaultBaseLatency, sentTimes: map[string][]time.Duration{}, completedTokens: map[string]int64{},
 	}
 	t := &table.Table{Revision: 1, Services: []table.ServiceRow{{Name: service, Engine: true}}}
 	for _, z := range zones {
 		for i := range serversEach {
 			name := fmt.Sprintf("%s-s%d", z, i)
 			t.Backends = append(t.Backends, table.Backend{Name: name, Zone: z, Address: name, Models: []string{service}, Slots: 16, Mark: table.Serving})
-			w.engines[name] = &engine{perToken: 10 * time.Microsecond, kept: map[uint64]bool{}}
+			w.engines[name] = &engine{perToken: 10 * time.Microsecond, cached: map[uint64]bool{}}
 		}
 	}
 	for _, z := range zones {
@@ -125,10 +125,10 @@
 		w.cores[name] = admit.New(admit.Router{Address: name, Zone: zoneOf(name)}, append([]admit.Option{admit.WithSeed(seed + uint64(i))}, opts...)...)
 		w.step(name, admit.TableUpdate{Table: t})
 	}
-	w.tellRouters()
+	w.updateRouters()
 	for _, name := range w.order {
 		w.every(tick, func() { w.step(name, admit.Tick{}) })
-		w.every(tellIn, func() { w.tell(name) })
+		w.every(reportInterval, func() { w.report(name) })
 	}
 	return w
 }
@@ -138,31 +138,31 @@
 	return zone
 }
 
-// at plans something.
-func (w *world) at(after time.Duration, do func()) {
+// schedule runs a function after a time.
+func (w *world) schedule(after time.Duration, do func()) {
 	w.seq++
-	heap.Push(&w.events, timed{w.now + after, w.seq, do})
+	heap.Push(&w.events, scheduledEvent{w.now + after, w.seq, do})
 }
 
 func (w *world) every(interval time.Duration, do func()) {
-	w.at(interval, func() {
+	w.schedule(interval, func() {
 		do()
 		w.every(interval, do)
 	})
 }
 
-// run lets time pass.
+// run advances time.
 func (w *world) run(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= until {
-		e := heap.Pop(&w.events).(timed)
+		e := heap.Pop(&w.events).(scheduledEvent)
 		w.now = e.at
 		e.do()
 	}
 	w.now = until
 }
 
-// tellRouters tells every router which others are heard.
-func (w *world) tellRouters() {
+// updateRouters updates every router's list of the others.
+func (w *world) updateRouters() {
 	known := map[string]int{}
 	for _, name := range w.order {
 		known[zoneOf(name)]++
@@ -170,7 +170,7 @@
 	for _, name := range w.order {
 		var list []admit.Router
 		for _, other := range w.order {
-			if other != name && !w.down[other] && !w.cut[[2]string{name, other}] {
+			if other != name && !w.down[other] && !w.blocked[[2]string{name, other}] {
 				list = append(list, admit.Router{Address: other, Zone: zoneOf(other)})
 			}
 		}
@@ -178,8 +178,8 @@
 	}
 }
 
-// change puts a changed table in force at all routers.
-func (w *world) change(do func(t *table.Table)) {
+// updateTable changes the table and sends it to all routers.
+func (w *world) updateTable(do func(t *table.Table)) {
 	t := *w.table
 	t.Backends, t.Services, t.Zones = slices.Clone(t.Backends), slices.Clone(t.Services), slices.Clone(t.Zones)
 	do(&t)
@@ -191,26 +191,26 @@
 	}
 }
 
-func (w *world) tell(name string) {
+func (w *world) report(name string) {
 	if w.down[name] {
 		return
 	}
-	t := w.cores[name].Snapshot(w.now)
+	s := w.cores[name].Snapshot(w.now)
 	for _, other := range w.order {
 		if other != name {
-			w.deliver(name, other, &wire.State{Accounts: t.Flows(wire.ScopeOwn, other), Copies: t.Copies()})
-			if w.weighed {
-				w.deliver(name, other, &wire.Uses{Scope: wire.ScopeOwn, Accounts: t.Uses(wire.ScopeOwn, other)})
+			w.deliver(name, other, &wire.State{Accounts: s.Flows(wire.ScopeOwn, other), Copies: s.Copies()})
+			if w.weighted {
+				w.deliver(name, other, &wire.Uses{Scope: wire.ScopeOwn, Accounts: s.Uses(wire.ScopeOwn, other)})
 			}
 		}
 	}
 }
 
 func (w *world) deliver(from, to string, msg any) {
-	if w.down[from] || w.down[to] || w.cut[[2]string{from, to}] || w.rng.Float64() < w.loss {
+	if w.down[from] || w.down[to] || w.blocked[[2]string{from, to}] || w.rng.Float64() < w.loss {
 		return
 	}
-	w.at(netTime, func() {
+	w.schedule(netLatency, func() {
 		if w.down[to] {
 			return
 		}
@@ -234,56 +234,56 @@
 		case admit.Send:
 			w.deliver(name, a.To, a.Msg)
 		case admit.Refuse:
-			w.refusals[a.ID] = w.now - w.asked[a.ID].at
-			w.crash.refused(a)
+			w.refusals[a.ID] = w.now - w.requests[a.ID].at
+			w.crashes.onRefused(a)
 		case admit.Start:
-			w.started(name, a)
+			w.startOnEngine(name, a)
 		}
 	}
-	w.tellSuspects(name)
+	w.sendSuspects(name)
 }
 
-// started has the engine read the prompt and make the answer.
-func (w *world) started(name string, a admit.Start) {
-	r := w.asked[a.ID].request
+// startOnEngine simulates the response to a request.
+func (w *world) startOnEngine(name string, a admit.Start) {
+	r := w.requests[a.ID].request
 	e := w.engines[a.Backend.Name]
-	w.sent[a.Backend.Name] = append(w.sent[a.Backend.Name], w.now)
+	w.sentTimes[a.Backend.Name] = append(w.sentTimes[a.Backend.Name], w.now)
 	e.running++
 	e.peak = max(e.peak, e.running)
 	tokens := r.Prompt
-	if r.Prefix != 0 && e.kept[r.Prefix] {
+	if r.Prefix != 0 && e.cached[r.Prefix] {
 		tokens -= r.Shared
 	}
-	e.kept[r.Prefix] = true
-	e.free = max(e.free, w.now) + time.Duration(tokens)*e.perToken
-	w.starts[a.ID] = startOf{Start: a, router: name, at: w.now}
-	if !w.crash.sent(a.ID, r.Digest, a.Backend.Name) {
+	e.cached[r.Prefix] = true
+	e.freeAt = max(e.freeAt, w.now) + time.Duration(tokens)*e.perToken
+	w.starts[a.ID] = startRecord{Start: a, router: name, at: w.now}
+	if !w.crashes.onSent(a.ID, r.Digest, a.Backend.Name) {
 		e.running--
-		w.at(netTime, func() { w.step(name, admit.AttemptEnd{ID: a.ID, Result: admit.Unreachable}) })
+		w.schedule(netLatency, func() { w.step(name, admit.AttemptEnd{ID: a.ID, Result: admit.Unreachable}) })
 		return
 	}
-	first := e.free - w.now + w.base
-	w.at(first, func() {
-		if w.crash.isDead(a.ID) || w.crash.isDeadly(r.Digest) {
+	first := e.freeAt - w.now + w.baseLatency
+	w.schedule(first, func() {
+		if w.crashes.isDisconnected(a.ID) || w.crashes.isCrashing(r.Digest) {
 			return
 		}
 		s := w.starts[a.ID]
-		s.first = w.now - w.asked[a.ID].at
+		s.first = w.now - w.requests[a.ID].at
 		w.starts[a.ID] = s
 		w.step(name, admit.FirstEvent{ID: a.ID})
 	})
-	w.at(first+w.hold, func() {
+	w.schedule(first+w.streamTime, func() {
 		e.running--
-		if !w.crash.isDead(a.ID) && !w.crash.isDeadly(r.Digest) {
-			w.crash.ended(a.ID)
-			w.ended[r.Account] += w.tokens
+		if !w.crashes.isDisconnected(a.ID) && !w.crashes.isCrashing(r.Digest) {
+			w.crashes.onEnded(a.ID)
+			w.completedTokens[r.Account] += w.tokens
 			w.step(name, admit.AttemptEnd{ID: a.ID, Result: admit.Answered, Digest: r.Digest, Completed: true, Tokens: w.tokens})
 		}
 	})
 }
 
-// ask has a request arrive at a router.
-func (w *world) ask(router string, r admit.Request) uint64 {
+// submit adds a request at a router.
+func (w *world) submit(router string, r admit.Request) uint64 {
 	w.nextID++
 	r.ID = w.nextID
 	r.Service = service
@@ -294,16 +294,16 @@
 	if r.MaxWait == 0 {
 		r.MaxWait = r.Target / 4
 	}
-	w.asked[r.ID] = askedOf{router: router, request: r, at: w.now}
+	w.requests[r.ID] = arrival{router: router, request: r, at: w.now}
 	w.step(router, admit.Arrive{Request: r})
 	return r.ID
 }
 
-// kill ends a router; the others notice after a time.
-func (w *world) kill(router string, noticed time.Duration) {
+// kill stops a router. The others detect it after a time.
+func (w *world) kill(router string, detectedAfter time.Duration) {
 	w.down[router] = true
-	w.at(noticed, func() {
-		w.tellRouters()
+	w.schedule(detectedAfter, func() {
+		w.updateRouters()
 		for _, name := range w.order {
 			w.step(name, admit.PeerGone{From: router})
 		}
