--- a/pkg/admit/admission.go
+++ b/pkg/admit/admission.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// targetMargin is the fraction of the remaining target within which the first event must be
-	// predicted. The rest absorbs prediction errors.
-	targetMargin = 0.8
+	// usableTargetFraction is the fraction of the remaining target within which the first event
+	// must be predicted. The rest absorbs prediction errors.
+	usableTargetFraction = 0.8
 	// aheadFraction of the shortest target of a service bounds the reading time queued ahead of
 	// any request. A higher value leaves no slots to requests with short targets, a lower one
 	// leaves engines idle.
@@ -86,7 +86,7 @@
 		return false
 	}
 	expected := s.health.slowness() * svc.latency.predict(s.owned.unread+toRead).Seconds()
-	return expected <= targetMargin*fraction*remaining
+	return expected <= usableTargetFraction*fraction*remaining
 }
 
 // admitsLongPrompt reports whether a prompt takes too long to read to meet its target anywhere,
