--- a/pkg/admit/limits.go
+++ b/pkg/admit/limits.go
@@ -26,7 +26,7 @@
 	// reports of other routers.
 	requests, tokens float64
 	filledAt         time.Duration
-	// createdAt is when this router first saw the account.
+	// createdAt is when this router first saw the account, or when the account got limits.
 	createdAt time.Duration
 }
 
