--- /dev/null
+++ b/pkg/admit/admission.go
@@ -0,0 +1,98 @@
+package admit
+
+import "time"
+
+const (
+	// usableTargetFraction is the fraction of the remaining target within which the first event
+	// must be predicted. The rest absorbs prediction errors.
+	usableTargetFraction = 0.8
+	// aheadFraction of the shortest target of a service bounds the reading time queued ahead of
+	// any request. A higher value leaves no slots to requests with short targets, a lower one
+	// leaves engines idle.
+	aheadFraction = 0.6
+	// Within startupPeriod after its start an owner grants only one slot at a time at each
+	// engine: routers that have not discovered each other may all act as its owner, and
+	// requests of earlier processes may still run. The period ends discoveryPeriod after the
+	// first other router appears.
+	startupPeriod   = time.Second
+	discoveryPeriod = 250 * time.Millisecond
+	// longPromptFraction of its target is the longest time that a prompt may wait behind others
+	// if reading it takes longer than that.
+	longPromptFraction = 0.25
+	// queuedPerSlot is the number of requests per slot that a plain service may have, since it
+	// queues requests itself.
+	queuedPerSlot = 2.5
+	// spillFraction of the usual limits applies to a request at a backend server that has to
+	// read its shared prefix again. This pays off only if that server is much less loaded.
+	spillFraction = 0.5
+	// extraSlotFraction is added to the fraction of slots that an account above its fair share
+	// may use.
+	extraSlotFraction = 0.25
+)
+
+// isStartingUp reports whether this router may not have discovered all others yet.
+func (c *Core) isStartingUp() bool {
+	if c.now-c.startedAt >= startupPeriod {
+		return false
+	}
+	return c.firstPeerAt == 0 || c.now-c.firstPeerAt < discoveryPeriod
+}
+
+// canAdmit reports whether a request can start at a backend server now.
+func (c *Core) canAdmit(svc *service, s *server, a *slotRequest, toRead int64) bool {
+	o := c.ownerStateOf(s)
+	if s.isWarming(c.now) && !c.mayGrantWarming(s) {
+		return false
+	}
+	if o.isExclusive(c.now) {
+		return false
+	}
+	if c.weighted != nil {
+		return c.hasFreeSlot(s)
+	}
+	if !svc.engine {
+		return float64(o.running) < float64(s.Slots)*queuedPerSlot
+	}
+	if a.Begun {
+		return o.running < s.Slots
+	}
+	fraction := c.targetFraction(a.Account)
+	if a.Spill {
+		fraction *= spillFraction
+	}
+	if float64(o.running) >= float64(s.Slots)*min(1, fraction+extraSlotFraction) {
+		return false
+	}
+	if c.isStartingUp() {
+		return o.unread == 0
+	}
+	if o.unread == 0 && (!a.Spill || a.Fetch) && (fraction == 1 || o.running < s.Slots/2) {
+		// Waiting does not help here, and only a new request updates the latency estimate.
+		return true
+	}
+	return c.meetsTarget(svc, s, a, toRead, fraction) || c.admitsLongPrompt(svc, s, a, toRead, fraction)
+}
+
+// meetsTarget reports whether the first event of a request is predicted within a fraction of
+// its remaining target.
+func (c *Core) meetsTarget(svc *service, s *server, a *slotRequest, toRead int64, fraction float64) bool {
+	remaining := (a.due - c.now).Seconds()
+	ahead := s.owned.unread
+	if c.exceedsShare(a.Account) {
+		// Count the load that this request adds, so that other accounts find a slot at once.
+		ahead += toRead
+	}
+	if s.health.slowness()*svc.latency.slope()*float64(ahead) > aheadFraction*svc.shortestTarget.get(c.now).Seconds() {
+		return false
+	}
+	expected := s.health.slowness() * svc.latency.predict(s.owned.unread+toRead).Seconds()
+	return expected <= usableTargetFraction*fraction*remaining
+}
+
+// admitsLongPrompt reports whether a prompt takes too long to read to meet its target anywhere,
+// but waits for little else at this backend server.
+func (c *Core) admitsLongPrompt(svc *service, s *server, a *slotRequest, toRead int64, fraction float64) bool {
+	limit := longPromptFraction * (time.Duration(a.TargetMillis) * time.Millisecond).Seconds()
+	behind := s.health.slowness() * svc.latency.slope() * float64(s.owned.unread)
+	return behind <= fraction*limit && svc.latency.slope()*float64(toRead) > limit
+}
