--- a/pkg/suspect/suspect.go
+++ b/pkg/suspect/suspect.go
@@ -1,12 +1,14 @@
-// Package suspect remembers which requests were under way at backend servers that ended,
-// so that one under which they end is told from those that only were there.
+// Package suspect detects requests that crash backend servers. It records which requests were
+// in flight at each backend server that crashed and blocks those that were present at too many
+// crashes.
 //
-// What is known of a request is the set of starts of backend servers that ended under it.
-// Sets are joined, so that routers which tell each other of ends come to the same whatever
-// the order in which they hear, and however often. An end is taken back when the backend
-// server turns out to live, all ends of a request when it has run to its end.
+// The crashes of a request form a set. Merging sets is commutative and idempotent, so routers
+// that exchange crashes converge whatever the order and number of messages. A crash is removed
+// when the backend server turns out to be alive. All crashes of a request are removed when the
+// request completes.
 //
-// The package is pure: the caller passes the time, which never runs backwards.
+// The package does no I/O and reads no clock: the caller passes the time, which must not go
+// backwards.
 package suspect
 
 import (
@@ -17,397 +19,387 @@
 )
 
 const (
-	// MaxCrashes is how many backend servers may end under a request before it gets no
-	// other: the operators' rule is three. Two would refuse harmless requests: of a fleet
-	// that loses servers by other causes 1 to 6 in 2,500 were cut off twice.
+	// MaxCrashes is how many backend servers may crash under a request before it is blocked. A
+	// lower limit would block harmless requests when servers crash for other reasons.
 	MaxCrashes = 3
-	// endsKept is for how long ends are remembered at least. Each that is forgotten costs
-	// another backend server when its request returns, which callers may do at any time; a
-	// request that only was there is forgotten sooner, when it has run to its end.
-	endsKept = 20 * time.Minute
-	// firstBar is for how long after its second end a request gets nothing that stands out by
-	// then: two ends may be chance, and the trial after it tells.
-	firstBar = 30 * time.Second
-	// barredFor is for how long after the last end a request under which MaxCrashes ended
-	// gets nothing: a trial may end one more server, which takes it away for seconds with
-	// all that runs there. Each further end makes that barredGrowth times as long, up to
-	// longestBar: a new version of an engine may bear the request, but the longer it has
-	// not, the less likely a trial is to find one.
-	barredFor    = 10 * time.Minute
-	barredGrowth = 4
-	longestBar   = 24 * time.Hour
-	// keptAfterBar is for how many times as long as a request is barred its ends are
-	// remembered: the trial after a bar must find them.
-	keptAfterBar = 2
-	// mostRequests bounds the requests that are remembered: 4,096 of 150 bytes each are
-	// 0.6 MB. A backend server that ends has up to 64 under way, so that these are the
-	// ends of 64 and more.
-	mostRequests = 4096
-	// dropPart of them is dropped at once when there are more.
-	dropPart = 8
-	// ranFor is for how long at least is remembered that a request ran to its end, mostRan
-	// how many such requests are, twice: 8,192 take 0.3 MB.
-	ranFor  = 30 * time.Second
-	mostRan = 4096
-	// mostServers bounds the ends that are remembered of one request.
-	mostServers = 8
-	// mostCleared bounds what waits to be told of ends that were cleared.
-	mostCleared = 1024
+	// minRetention is the minimum time for which crashes are kept. Callers may resend a
+	// request long after its last crash.
+	minRetention = 20 * time.Minute
+	// earlyBlock is how long a request is blocked after its second crash if isEarlySuspect
+	// holds. Two crashes may be a coincidence, so one more attempt follows.
+	earlyBlock = 30 * time.Second
+	// baseBlock is how long a request is blocked after MaxCrashes crashes. The attempt after
+	// the block may crash another server, so each further crash multiplies the block by
+	// blockGrowth, up to maxBlock. Blocks do expire, since a new engine version may handle the
+	// request.
+	baseBlock   = 10 * time.Minute
+	blockGrowth = 4
+	maxBlock    = 24 * time.Hour
+	// retentionPerBlock is the ratio of retention to block time. The crashes must still be
+	// known when a request is tried again after its block.
+	retentionPerBlock = 2
+	// maxRequests bounds the number of requests kept.
+	maxRequests = 4096
+	// evictPart is the divisor of maxRequests that gives how many requests one eviction drops.
+	evictPart = 8
+	// completedFor is the minimum time for which completions are counted, and maxCompleted
+	// bounds the requests in each of the two generations of counts.
+	completedFor = 30 * time.Second
+	maxCompleted = 4096
+	// maxCrashesKept bounds the crashes kept per request.
+	maxCrashesKept = 8
+	// maxCleared bounds the Cleared records that wait for DrainCleared.
+	maxCleared = 1024
 )
 
-// MaxRetention is for how long ends are remembered at most.
-const MaxRetention = keptAfterBar * longestBar
+// MaxRetention is the maximum time for which crashes are kept.
+const MaxRetention = retentionPerBlock * maxBlock
 
-// Digest identifies a request by what its caller sends, whichever try it is.
+// Digest identifies a request by its content. All attempts of a request share it.
 type Digest uint64
 
-// Server names a start of a backend server.
+// Server identifies one incarnation of a backend server.
 type Server uint32
 
-// Crash says that a backend server ended while a request was under way there.
+// Crash records that a backend server crashed while a request was in flight there.
 type Crash struct {
 	Digest Digest
 	Server Server
 	At     time.Duration
-	// Sent is when the try that was under way had been sent, at or before At.
+	// Sent is when the attempt was sent, at or before At.
 	Sent time.Duration
-	// Unanswered says that it had not begun to answer.
+	// Unanswered says that the server had not begun to answer the attempt.
 	Unanswered bool
-	// Extra is how many more ends than MaxCrashes the request may have, by what the router that
-	// tells of it knows.
+	// Extra is how many crashes beyond MaxCrashes the reporting router allows for the request.
 	Extra int
 }
 
-// Status is what the ends of a request say of it.
+// Status is what the recorded crashes say about a request.
 type Status struct {
-	// Crashes is how many backend servers ended under it.
-	Crashes int
-	// LastCrash is when the last of them did.
+	Crashes   int
 	LastCrash time.Duration
-	// BlockedUntil is until when it gets nothing, 0 if it may be sent.
+	// BlockedUntil is when the block ends, 0 if the request is not blocked.
 	BlockedUntil time.Duration
 }
 
-// Blocked reports whether the request gets nothing now.
+// Blocked reports whether the request must not be sent now.
 func (s Status) Blocked(now time.Duration) bool { return now < s.BlockedUntil }
 
-// request is what is remembered of one.
+// request holds the crashes of one request.
 type request struct {
-	// ends are of different servers, the oldest first.
-	ends []Crash
-	// more is how many more than MaxCrashes there may be, by how often it had run before.
-	more int
+	// crashes has one element per server and is sorted by time.
+	crashes []Crash
+	// extra is how many crashes beyond MaxCrashes are allowed. See extraTrials.
+	extra int
 }
 
-func (r *request) last() time.Duration { return r.ends[len(r.ends)-1].At }
+func (r *request) lastCrash() time.Duration { return r.crashes[len(r.crashes)-1].At }
 
-// bar returns for how long after the last end the request gets nothing if it is barred.
-func (r *request) bar() time.Duration {
-	d := barredFor
-	for range len(r.ends) - MaxCrashes - r.more {
-		d = min(longestBar, barredGrowth*d)
+// blockFor returns how long a request with at least MaxCrashes+extra crashes is blocked after
+// the last one.
+func (r *request) blockFor() time.Duration {
+	d := baseBlock
+	for range len(r.crashes) - MaxCrashes - r.extra {
+		d = min(maxBlock, blockGrowth*d)
 	}
 	return d
 }
 
-// kept returns for how long after the last end it is remembered.
-func (r *request) kept() time.Duration {
-	if len(r.ends) < MaxCrashes+r.more {
-		return endsKept
+// retention returns how long the request is kept after its last crash.
+func (r *request) retention() time.Duration {
+	if len(r.crashes) < MaxCrashes+r.extra {
+		return minRetention
 	}
-	return max(endsKept, keptAfterBar*r.bar())
+	return max(minRetention, retentionPerBlock*r.blockFor())
 }
 
-// Reason is why ends of a request are not remembered any more.
+// Reason says why crashes of a request were removed.
 type Reason string
 
 const (
-	// ReasonCompleted: the request has run to its end.
+	// ReasonCompleted: the request completed.
 	ReasonCompleted Reason = "ran"
-	// ReasonAlive: the backend server turned out to live.
+	// ReasonAlive: the backend server turned out to be alive.
 	ReasonAlive Reason = "lives"
-	// ReasonExpired: they are as old as ends are remembered.
+	// ReasonExpired: the crashes passed their retention time.
 	ReasonExpired Reason = "old"
-	// ReasonEvicted: there were too many requests, and others had more ends.
+	// ReasonEvicted: the tracker was full and other requests had more crashes.
 	ReasonEvicted Reason = "room"
 )
 
-// Cleared are ends of a request that are not remembered any more.
+// Cleared describes crashes of a request that were removed.
 type Cleared struct {
 	Digest Digest
-	// Crashes is how many, above 0.
+	// Crashes is the number removed, above 0.
 	Crashes int
 	Reason  Reason
 }
 
-// Tracker is what one router remembers.
+// Tracker holds the crashes known to one router.
 type Tracker struct {
 	requests map[Digest]*request
-	// cleared is what was forgotten or taken back and not fetched yet.
+	// cleared waits for DrainCleared.
 	cleared []Cleared
-	// at counts the ends that are remembered of each server.
-	at map[Server]int
-	// ran counts how often requests ran to their end since ranSince, ranBefore in the time
-	// before that.
-	ran, ranBefore map[Digest]int
-	ranSince       time.Duration
+	// crashesAt counts the recorded crashes of each server.
+	crashesAt map[Server]int
+	// completed counts completions of requests since completedSince, completedBefore those of
+	// the generation before.
+	completed, completedBefore map[Digest]int
+	completedSince             time.Duration
 }
 
-// New returns an empty table.
+// New returns an empty tracker.
 func New() *Tracker {
-	return &Tracker{requests: map[Digest]*request{}, at: map[Server]int{}, ran: map[Digest]int{}}
+	return &Tracker{requests: map[Digest]*request{}, crashesAt: map[Server]int{}, completed: map[Digest]int{}}
 }
 
-// Len returns how many requests are remembered.
+// Len returns the number of requests kept.
 func (t *Tracker) Len() int { return len(t.requests) }
 
-// Record takes in an end, and reports whether it is news.
-func (t *Tracker) Record(now time.Duration, e Crash) bool {
-	if e.Digest == 0 || now-e.At >= MaxRetention {
+// Record adds a crash and reports whether it changes what is known.
+func (t *Tracker) Record(now time.Duration, c Crash) bool {
+	if c.Digest == 0 || now-c.At >= MaxRetention {
 		return false
 	}
-	e.At = min(e.At, now)
-	e.Sent = min(e.Sent, e.At)
-	r, ok := t.requests[e.Digest]
+	c.At = min(c.At, now)
+	c.Sent = min(c.Sent, c.At)
+	r, ok := t.requests[c.Digest]
 	if !ok {
-		t.makeRoom(now)
+		t.evict(now)
 		r = &request{}
-		t.requests[e.Digest] = r
+		t.requests[c.Digest] = r
 	}
-	r.more = min(mostServers-MaxCrashes, max(r.more, e.Extra, t.trialsMore(e.Digest)))
-	e.Extra = 0
-	if i := slices.IndexFunc(r.ends, func(x Crash) bool { return x.Server == e.Server }); i >= 0 {
-		return r.join(i, e)
+	r.extra = min(maxCrashesKept-MaxCrashes, max(r.extra, c.Extra, t.extraTrials(c.Digest)))
+	c.Extra = 0
+	if i := slices.IndexFunc(r.crashes, func(x Crash) bool { return x.Server == c.Server }); i >= 0 {
+		return r.merge(i, c)
 	}
-	if len(r.ends) == mostServers {
-		t.forgetEnd(r.ends[0])
-		r.ends = slices.Delete(r.ends, 0, 1)
+	if len(r.crashes) == maxCrashesKept {
+		t.uncount(r.crashes[0])
+		r.crashes = slices.Delete(r.crashes, 0, 1)
 	}
-	at, _ := slices.BinarySearchFunc(r.ends, e, byTime)
-	r.ends = slices.Insert(r.ends, at, e)
-	t.at[e.Server]++
+	pos, _ := slices.BinarySearchFunc(r.crashes, c, compareTimes)
+	r.crashes = slices.Insert(r.crashes, pos, c)
+	t.crashesAt[c.Server]++
 	return true
 }
 
-// join takes in what another router tells of an end that is known: several tries may have
-// been under way there. It reports whether that shows for the first time that a try was
-// sent after the first end, or that one had begun to answer.
-func (r *request) join(i int, e Crash) bool {
-	before, x := r.repeated(), &r.ends[i]
-	answered := x.Unanswered && !e.Unanswered
-	x.Sent = max(x.Sent, e.Sent)
-	x.Unanswered = x.Unanswered && e.Unanswered
-	return answered || !before && r.repeated()
+// merge updates the known crash at index i, since several attempts may have been in flight at
+// that server. It reports whether c shows something new: the first attempt sent after the
+// first crash, or the first one that had begun to be answered.
+func (r *request) merge(i int, c Crash) bool {
+	before, known := r.crashedOnRetry(), &r.crashes[i]
+	answered := known.Unanswered && !c.Unanswered
+	known.Sent = max(known.Sent, c.Sent)
+	known.Unanswered = known.Unanswered && c.Unanswered
+	return answered || !before && r.crashedOnRetry()
 }
 
-func byTime(a, b Crash) int {
+func compareTimes(a, b Crash) int {
 	return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Server, b.Server))
 }
 
-// HasCrash reports whether any end at a server is remembered.
-func (t *Tracker) HasCrash(server Server) bool { return t.at[server] > 0 }
+// HasCrash reports whether any crash of the server is recorded.
+func (t *Tracker) HasCrash(server Server) bool { return t.crashesAt[server] > 0 }
 
-// MarkAlive takes back the ends at a server in a time, from and up to two moments, during which
-// it did not end.
+// MarkAlive removes the crashes recorded for a server from the time from up to, but not
+// including, the time to, during which the server was alive.
 func (t *Tracker) MarkAlive(server Server, from, to time.Duration) {
 	if !t.HasCrash(server) {
 		return
 	}
 	for d, r := range t.requests {
-		t.take(d, r, ReasonAlive, func(e Crash) bool { return e.Server == server && from <= e.At && e.At < to })
+		t.removeCrashes(d, r, ReasonAlive, func(c Crash) bool { return c.Server == server && from <= c.At && c.At < to })
 	}
 }
 
-// MarkCompleted takes back the ends of a request that has run to its end, and reports whether there
-// were any.
+// MarkCompleted counts a completion of a request and removes its crashes. It reports whether
+// the request had any.
 func (t *Tracker) MarkCompleted(now time.Duration, d Digest) bool {
 	if d == 0 {
 		return false
 	}
-	if len(t.ran) >= mostRan || now-t.ranSince >= ranFor {
-		t.ran, t.ranBefore, t.ranSince = make(map[Digest]int, len(t.ran)), t.ran, now
+	if len(t.completed) >= maxCompleted || now-t.completedSince >= completedFor {
+		t.completed, t.completedBefore, t.completedSince = make(map[Digest]int, len(t.completed)), t.completed, now
 	}
-	t.ran[d]++
+	t.completed[d]++
 	r, ok := t.requests[d]
 	if ok {
-		t.take(d, r, ReasonCompleted, allEnds)
+		t.removeCrashes(d, r, ReasonCompleted, allCrashes)
 	}
 	return ok
 }
 
-// Status returns what the ends of a request say of it.
+// Status returns the status of a request, the zero Status if no crashes of it are known.
 func (t *Tracker) Status(now time.Duration, d Digest) Status {
 	r, ok := t.requests[d]
-	if !ok || now-r.last() >= r.kept() {
+	if !ok || now-r.lastCrash() >= r.retention() {
 		return Status{}
 	}
-	s := Status{Crashes: len(r.ends), LastCrash: r.last()}
+	s := Status{Crashes: len(r.crashes), LastCrash: r.lastCrash()}
 	if s.Crashes < MaxCrashes {
-		if r.more == 0 && t.standsOut(r) {
-			s.BlockedUntil = s.LastCrash + firstBar
+		if r.extra == 0 && t.isEarlySuspect(r) {
+			s.BlockedUntil = s.LastCrash + earlyBlock
 		}
 		return s
 	}
-	if (r.repeated() || r.last()-r.ends[0].At > oneMoment) && s.Crashes >= MaxCrashes+r.more {
-		s.BlockedUntil = r.last() + r.bar()
+	if (r.crashedOnRetry() || r.lastCrash()-r.crashes[0].At > incidentWindow) && s.Crashes >= MaxCrashes+r.extra {
+		s.BlockedUntil = r.lastCrash() + r.blockFor()
 	}
 	return s
 }
 
-// standsOut reports whether two ends tell that a request ends its servers: its second try
-// was sent after the first end and had not begun to answer when that server ended, nothing
-// else was there that had been at an end before, and no other server ended in that moment.
-// Such a try takes less than a second, in which a server hardly ends by another cause.
-func (t *Tracker) standsOut(r *request) bool {
-	if len(r.ends) < MaxCrashes-1 {
+// isEarlySuspect reports whether a request with MaxCrashes-1 crashes is their likely cause: its
+// last attempt was sent after the first crash, ran for at least minAttempt and was unanswered
+// when the server crashed, and no other request's crashes explain the last one.
+func (t *Tracker) isEarlySuspect(r *request) bool {
+	if len(r.crashes) < MaxCrashes-1 {
 		return false
 	}
-	first, last := r.ends[0], r.ends[len(r.ends)-1]
-	if !last.Unanswered || last.Sent <= first.At || last.At-last.Sent < leastRun {
+	first, last := r.crashes[0], r.crashes[len(r.crashes)-1]
+	if !last.Unanswered || last.Sent <= first.At || last.At-last.Sent < minAttempt {
 		return false
 	}
 	for _, other := range t.requests {
-		if other != r && other.explains(first, last) {
+		if other != r && other.mayExplain(first, last) {
 			return false
 		}
 	}
 	return true
 }
 
-// leastRun is how long a try must have been at a server for its end to stand out: what breaks
-// sooner may have been sent on a connection that was dead before.
-const leastRun = 20 * time.Millisecond
+// minAttempt is how long an attempt must have been at a server to count for isEarlySuspect. An
+// attempt that fails sooner may have been sent on a connection that was already dead.
+const minAttempt = 20 * time.Millisecond
 
-// explains reports whether a request may be the cause of an end of another one, or shows
-// that servers end by other causes at that moment.
-func (r *request) explains(first, last Crash) bool {
-	for _, e := range r.ends {
+// mayExplain reports whether r accounts for the last crash of another request. Either r was in
+// flight at that server too and has an earlier crash elsewhere, or r shows that a further
+// server crashed at about the same time.
+func (r *request) mayExplain(first, last Crash) bool {
+	for _, c := range r.crashes {
 		switch {
-		case e.Server == last.Server:
-			if r.ends[0].Server != last.Server {
+		case c.Server == last.Server:
+			if r.crashes[0].Server != last.Server {
 				return true
 			}
-		case e.Server != first.Server && (e.At-last.At).Abs() < oneMoment:
+		case c.Server != first.Server && (c.At-last.At).Abs() < incidentWindow:
 			return true
 		}
 	}
 	return false
 }
 
-// oneMoment is how far apart the ends of servers are that are lost together, as with a rack.
-// Callers who poll send the same request many times at once: several servers then end under
-// it, and a trial tells whether it was at fault. Of a request that ended four servers within
-// 0.5 s, all sent before the first end, the ends were 60 to 250 ms apart.
-const oneMoment = 150 * time.Millisecond
-
-// trialsMore returns how many more trials a request gets since it ran to its end lately: one
-// for a run, and one more each time that there were twice as many. Callers poll with such a
-// request, so that some of its tries are at each end of a server, whatever the cause. A run
-// takes all ends back.
-func (t *Tracker) trialsMore(d Digest) int {
-	return min(mostServers-MaxCrashes, bits.Len(uint(t.ran[d]+t.ranBefore[d])))
+// incidentWindow is the maximum time between crashes that count as one incident, such as the
+// loss of a rack. Several attempts of one request may be in flight when it happens.
+const incidentWindow = 150 * time.Millisecond
+
+// extraTrials returns how many crashes beyond MaxCrashes a request may have because it
+// completed recently: one for the first completion and one more for each doubling. A request
+// that callers repeat often is in flight at most crashes, whatever their cause.
+func (t *Tracker) extraTrials(d Digest) int {
+	return min(maxCrashesKept-MaxCrashes, bits.Len(uint(t.completed[d]+t.completedBefore[d])))
 }
 
-// repeated reports whether any of the ends was under a try that was sent after the first
-// end.
-func (r *request) repeated() bool {
-	first := r.ends[0].At
-	return slices.ContainsFunc(r.ends, func(e Crash) bool { return e.Sent > first })
+// crashedOnRetry reports whether any crash hit an attempt that was sent after the first crash.
+func (r *request) crashedOnRetry() bool {
+	first := r.crashes[0].At
+	return slices.ContainsFunc(r.crashes, func(c Crash) bool { return c.Sent > first })
 }
 
-// Expire forgets what is old.
+// Expire removes requests past their retention time.
 func (t *Tracker) Expire(now time.Duration) {
 	for d, r := range t.requests {
-		if now-r.last() >= r.kept() {
-			t.take(d, r, ReasonExpired, allEnds)
+		if now-r.lastCrash() >= r.retention() {
+			t.removeCrashes(d, r, ReasonExpired, allCrashes)
 		}
 	}
 }
 
-// TopCrashes returns the ends of the requests under which most servers ended, as many as fit.
-func (t *Tracker) TopCrashes(most int) []Crash {
+// TopCrashes returns the crashes of the requests that have the most, at most limit of them. It
+// includes all crashes of a request or none.
+func (t *Tracker) TopCrashes(limit int) []Crash {
 	var list []Crash
-	for _, r := range t.byEnds() {
-		if len(list)+len(r.ends) > most {
+	for _, r := range t.byCrashCount() {
+		if len(list)+len(r.crashes) > limit {
 			break
 		}
-		for _, e := range r.ends {
-			e.Extra = r.more
-			list = append(list, e)
+		for _, c := range r.crashes {
+			c.Extra = r.extra
+			list = append(list, c)
 		}
 	}
 	return list
 }
 
-// ExtraAllowed returns how many more ends than MaxCrashes a request may have.
+// ExtraAllowed returns how many crashes beyond MaxCrashes a request may have.
 func (t *Tracker) ExtraAllowed(d Digest) int {
 	if r, ok := t.requests[d]; ok {
-		return r.more
+		return r.extra
 	}
 	return 0
 }
 
-// byEnds returns the requests with the most ends first, of equals the latest.
-func (t *Tracker) byEnds() []*request {
+// byCrashCount returns the requests with the most crashes first, the most recent first among
+// equals.
+func (t *Tracker) byCrashCount() []*request {
 	list := make([]*request, 0, len(t.requests))
 	for _, r := range t.requests {
 		list = append(list, r)
 	}
 	slices.SortFunc(list, func(a, b *request) int {
-		return cmp.Or(cmp.Compare(len(b.ends), len(a.ends)), cmp.Compare(b.last(), a.last()), cmp.Compare(a.ends[0].Digest, b.ends[0].Digest))
+		return cmp.Or(cmp.Compare(len(b.crashes), len(a.crashes)), cmp.Compare(b.lastCrash(), a.lastCrash()), cmp.Compare(a.crashes[0].Digest, b.crashes[0].Digest))
 	})
 	return list
 }
 
-// makeRoom drops a part of the requests where there are too many: those with the fewest
-// ends, the oldest first, so that a flood of new ones does not make the worst forgotten.
-func (t *Tracker) makeRoom(now time.Duration) {
-	if len(t.requests) < mostRequests {
+// evict makes room in a full tracker. It drops the requests with the fewest crashes, oldest
+// first, so that many new requests do not displace the likeliest culprits.
+func (t *Tracker) evict(now time.Duration) {
+	if len(t.requests) < maxRequests {
 		return
 	}
 	t.Expire(now)
-	if len(t.requests) < mostRequests {
+	if len(t.requests) < maxRequests {
 		return
 	}
-	list := t.byEnds()
-	for _, r := range list[len(list)-mostRequests/dropPart:] {
-		t.take(r.ends[0].Digest, r, ReasonEvicted, allEnds)
+	list := t.byCrashCount()
+	for _, r := range list[len(list)-maxRequests/evictPart:] {
+		t.removeCrashes(r.crashes[0].Digest, r, ReasonEvicted, allCrashes)
 	}
 }
 
-// allEnds says that an end is one of all.
-func allEnds(Crash) bool { return true }
+// allCrashes matches every crash.
+func allCrashes(Crash) bool { return true }
 
-// DrainCleared returns what was forgotten or taken back since the last call. What exceeds
-// mostCleared is not told.
+// DrainCleared returns and forgets the removals since the last call, at most maxCleared.
 func (t *Tracker) DrainCleared() []Cleared {
 	list := t.cleared
 	t.cleared = nil
 	return list
 }
 
-// take takes some ends of a request back, and the request with its last.
-func (t *Tracker) take(d Digest, r *request, why Reason, which func(Crash) bool) {
-	before := len(r.ends)
+// removeCrashes removes the matching crashes of a request, and the request once it has none.
+func (t *Tracker) removeCrashes(d Digest, r *request, reason Reason, match func(Crash) bool) {
+	before := len(r.crashes)
 	defer func() {
-		if n := before - len(r.ends); n > 0 && len(t.cleared) < mostCleared {
-			t.cleared = append(t.cleared, Cleared{Digest: d, Crashes: n, Reason: why})
+		if n := before - len(r.crashes); n > 0 && len(t.cleared) < maxCleared {
+			t.cleared = append(t.cleared, Cleared{Digest: d, Crashes: n, Reason: reason})
 		}
 	}()
-	r.ends = slices.DeleteFunc(r.ends, func(e Crash) bool {
-		if !which(e) {
+	r.crashes = slices.DeleteFunc(r.crashes, func(c Crash) bool {
+		if !match(c) {
 			return false
 		}
-		t.forgetEnd(e)
+		t.uncount(c)
 		return true
 	})
-	if len(r.ends) == 0 {
+	if len(r.crashes) == 0 {
 		delete(t.requests, d)
 	}
 }
 
-func (t *Tracker) forgetEnd(e Crash) {
-	if t.at[e.Server]--; t.at[e.Server] <= 0 {
-		delete(t.at, e.Server)
+func (t *Tracker) uncount(c Crash) {
+	if t.crashesAt[c.Server]--; t.crashesAt[c.Server] <= 0 {
+		delete(t.crashesAt, c.Server)
 	}
 }
