--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -85,11 +85,11 @@
 // observers tells several of an outcome; nil ones are passed over.
 type observers []front.Observer
 
-// Answered implements front.Observer.
-func (os observers) Answered(o front.Outcome) {
+// RequestEnded implements front.Observer.
+func (os observers) RequestEnded(o front.Outcome) {
 	for _, ob := range os {
 		if ob != nil {
-			ob.Answered(o)
+			ob.RequestEnded(o)
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	p := n.Peers.Counters()
 	callers := n.Front.Connections()
 	n.setGauges(map[string]int64{
-		metrics.Open:         n.Front.Open(),
+		metrics.Open:         n.Front.OpenRequests(),
 		metrics.Reserved:     n.Front.ReservedDropped(),
 		metrics.Connections:  int64(callers.Open),
 		metrics.Resting:      int64(callers.Idle),
@@ -158,13 +158,13 @@
 		metrics.Owned:          int64(len(s.Owned)),
 		metrics.Untrusted:      int64(len(s.Untrusted)),
 		metrics.LeavingServers: int64(len(s.Leaving)),
-		metrics.RestingServers: int64(len(s.Resting)),
+		metrics.RestingServers: int64(len(s.BackingOff)),
 		metrics.ClosedZones:    int64(len(s.ClosedZones)),
 		metrics.Warming:        int64(s.Warming),
 		metrics.Unverified:     s.VerifiedMillisAgo / time.Second.Milliseconds(),
 		metrics.Unusable:       int64(s.UnusableCount),
 	})
-	for reason, total := range s.Damaged {
+	for reason, total := range s.UnusableTotal {
 		n.metrics.Event("unusable_"+string(reason), total)
 	}
 }
@@ -183,4 +183,4 @@
 }
 
 // Overloaded implements admin.Source.
-func (r readiness) Overloaded() bool { return r.Source.Overloaded() || r.callers.Full() }
+func (r readiness) Overloaded() bool { return r.Source.Overloaded() || r.callers.ConnectionsFull() }
--- a/pkg/admit/caution.go
+++ b/pkg/admit/caution.go
@@ -59,7 +59,7 @@
 		return noCaution
 	case standing.Crashes > 1:
 		return alone
-	case r.Answering || c.answers[r.Digest] > standing.LastCrash:
+	case r.Resuming || c.answers[r.Digest] > standing.LastCrash:
 		return noCaution
 	default:
 		return oneAtATime
@@ -70,7 +70,7 @@
 // if it is not.
 func (c *Core) endsRefusal(r *request) *verdict.Error {
 	if standing := c.suspects.Status(c.now, r.Digest); standing.Blocked(c.now) {
-		return errEnds.After(standing.BlockedUntil - c.now)
+		return errEnds.WithRetryAfter(standing.BlockedUntil - c.now)
 	}
 	return nil
 }
