--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -1,7 +1,7 @@
-// Package catalog keeps what the platform publishes: the operators' table and
-// the directory of backend servers. Whatever a router hears, from the platform
-// or from other routers, early, late or twice, merges to the same state: of
-// each entry the highest revision wins, so nothing older comes back.
+// Package catalog holds what the platform publishes: the operators' table and the directory of
+// backend servers. It merges updates from the platform and from other routers. Per entry the
+// highest revision wins, so the result does not depend on the order of updates or on
+// duplicates, and a late update never restores an older state.
 package catalog
 
 import (
@@ -13,131 +13,132 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// ErrCompacted says that the platform no longer remembers the changes after a
-// revision, so that everything must be read anew.
-var ErrCompacted = errors.New("catalog: the changes since that revision are forgotten")
+// ErrCompacted says that the platform no longer holds the changes after a revision. The caller
+// must read everything again.
+var ErrCompacted = errors.New("catalog: the changes after the revision are no longer available")
 
-// Server is one entry of the directory of backend servers.
+// Server is an entry of the directory of backend servers.
 type Server struct {
-	// Revision is the entry's last change; it only grows.
+	// Revision is the revision of the entry's last change.
 	Revision uint64
-	// Gone says that the entry was removed at Revision, and Last is its last change before
-	// that, 0 if it is not known.
+	// Gone says that the entry was removed at Revision. Last is the revision of its last
+	// change before that, 0 if unknown.
 	Gone bool
 	Last uint64
-	// Unusable says why the entry names no backend server to use.
+	// Unusable says why the entry cannot be used as a backend server.
 	Unusable Unusable
-	// Backend is the entry; only its name counts if it is gone or cannot be used.
+	// Backend is the entry's content. If the entry is gone or unusable, only the name is
+	// valid.
 	Backend table.Backend
 }
 
-// Update is a part of what the platform publishes.
+// Update is a full or incremental update of what the platform publishes.
 type Update struct {
-	// Epoch is the platform's epoch, of which all revisions are.
+	// Epoch is the platform's epoch, to which all revisions in the update belong.
 	Epoch uint64
-	// EpochAge is how long ago the sender first heard of the epoch.
+	// EpochAge is how long ago the sender learned of the epoch.
 	EpochAge time.Duration
-	// After is the revision since which the news are complete; 0 means that
-	// they hold everything.
+	// After and AsOf are the range of revisions that the update covers: all changes after
+	// After, up to AsOf. A full update has After 0.
 	After uint64
-	// AsOf is the revision up to which they are complete.
-	AsOf uint64
+	AsOf  uint64
 	// Table is the operators' table, nil if it did not change.
 	Table *table.Table
-	// Servers are the directory's entries that changed. Those that changed after After
-	// and are not listed are gone.
+	// Servers are the changed directory entries. Any other entry whose last known change is in
+	// the range has been removed.
 	Servers []Server
-	// Zones are the marks of availability zones that changed. Zones that were closed
-	// after After and are not listed are open.
+	// Zones are the changed zone marks. Any other zone that was closed in the range is open.
 	Zones []Zone
-	// Jumps are those of the router that tells the news.
+	// Jumps are the jumps known to the sending router.
 	Jumps []Jump
-	// Retained is what a router keeps of earlier epochs, nil if nothing.
+	// Retained is what the sending router keeps from earlier epochs, nil if nothing.
 	Retained *Retained
-	// Skipped is what was published besides and says nothing. It is for the log of the
-	// router that read it.
+	// Skipped are published items that could not be interpreted. The router that read them
+	// logs them.
 	Skipped []Skipped `msgpack:"-"`
 }
 
-// Empty reports whether the news say nothing but how far they reach.
-func (n *Update) Empty() bool {
-	return n.Table == nil && len(n.Servers) == 0 && len(n.Zones) == 0 && n.Retained == nil && n.After > 0
+// Empty reports whether the update is incremental and holds no changes.
+func (u *Update) Empty() bool {
+	return u.Table == nil && len(u.Servers) == 0 && len(u.Zones) == 0 && u.Retained == nil && u.After > 0
 }
 
-// Catalog is the merged state. Its zero value is not ready; use New.
+// Catalog is the merged state. Create it with New.
 type Catalog struct {
 	// now is the time of the last Merge or Refresh.
 	now  time.Duration
 	asOf Revision
-	// enteredAt is when the current epoch was first heard of by anybody.
-	enteredAt time.Duration
-	// enteredNumber is the number as of which this catalog entered it.
-	enteredNumber uint64
-	// verifiedAt is when nothing newer than asOf was known to be published.
+	// epochSince is when any router first learned of the current epoch.
+	epochSince time.Duration
+	// epochEntryNumber is the revision number of the full update that began the epoch here.
+	epochEntryNumber uint64
+	// verifiedAt is the last time at which asOf was known to be current.
 	verifiedAt time.Duration
-	// change is what was known before, while a list of a new epoch is taken in.
+	// change is the state before the current epoch, set while its first update is merged.
 	change *epochChange
-	// history is of the current epoch.
+	// history covers the current epoch.
 	history history
 	table   *table.Table
-	// servers are the entries as the current epoch has them. Those of retainedServers stand
-	// above them; the same holds for zones. tableRetained says that the table is of an earlier
-	// epoch.
+	// servers and zones are as published in the current epoch. Items in retainedServers and
+	// retainedZones take precedence over them. tableRetained says that the table is from an
+	// earlier epoch.
 	servers         map[string]Server
 	retainedServers map[string]retained[Server]
 	retainedZones   map[string]retained[Zone]
 	tableRetained   bool
-	// missingFor is for how long entries are kept that a new epoch does not list.
-	missingFor time.Duration
-	// names are those of the entries, sorted; nil once there are new ones.
+	// unlistedGrace is how long entries are kept that a new epoch does not list.
+	unlistedGrace time.Duration
+	// names caches the sorted entry names, nil if it is out of date.
 	names []string
 	zones map[string]zone
-	// warmUntil is until when a backend server warms up by its entry, by name.
-	warmUntil map[string]time.Duration
-	// goneAt is when an entry was heard to be gone, by name.
+	// warmupUntil is when the warm-up of a backend server ends according to its entry, by
+	// name.
+	warmupUntil map[string]time.Duration
+	// goneAt is when this catalog learned of an entry's removal, by name.
 	goneAt map[string]time.Duration
-	// recordFrom is the number of the current epoch after which all removals are remembered:
-	// what was there before this catalog knew anything may have gone unheard of.
-	recordFrom uint64
-	// highest is the number of the latest change of an entry or mark that was taken in.
+	// historyFrom is the revision number after which all removals are known. Earlier removals
+	// may have been missed or forgotten.
+	historyFrom uint64
+	// highest is the highest revision number of a merged entry or mark.
 	highest uint64
-	// jumps are the latest steps between whole lists after that: what came and went within
-	// one is not known.
+	// jumps are the latest jumps above historyFrom.
 	jumps []Jump
-	// vanished are the entries that were removed within keep without having
-	// been marked first, by name; kept is how many of them the view holds.
-	vanished map[string]vanished
-	keep     time.Duration
-	kept     int
-	// own reports whether an address is a router's own.
-	own func(address string) bool
-	// unusable are the names of the entries that cannot be used, noted those of them
-	// that were not logged yet, damaged how many there were since the start.
-	unusable map[string]bool
-	noted    []Server
-	damaged  map[Reason]int64
-	view     *table.Table
-	// dirty says that the view lacks a change, joinedAt when it was made.
-	dirty    bool
-	joinedAt time.Duration
+	// vanished are the entries removed within removalGrace that were not marked as leaving
+	// first, by name. vanishedInView is how many of them the view includes.
+	vanished       map[string]vanished
+	removalGrace   time.Duration
+	vanishedInView int
+	// ownAddress reports whether an address belongs to a router.
+	ownAddress func(address string) bool
+	// unusable are the names of the unusable entries. unusableQueue holds those that wait for
+	// DrainUnusable, unusableTotals counts them since the start by reason.
+	unusable       map[string]bool
+	unusableQueue  []Server
+	unusableTotals map[Reason]int64
+	view           *table.Table
+	// dirty says that the view is out of date. builtAt is when it was built.
+	dirty   bool
+	builtAt time.Duration
 }
 
-// Option changes a new Catalog.
+// Option configures a new Catalog.
 type Option func(*Catalog)
 
-// WithRemovalGrace sets for how long backend servers whose entries vanish together are
-// kept in the view; 0, the default, is not at all.
-func WithRemovalGrace(d time.Duration) Option { return func(c *Catalog) { c.keep = d } }
+// WithRemovalGrace sets how long backend servers stay in the view when the entries of several
+// vanish together. The default is 0: not at all.
+func WithRemovalGrace(d time.Duration) Option { return func(c *Catalog) { c.removalGrace = d } }
 
-// WithOwnAddress sets what tells whether an address is a router's own.
-func WithOwnAddress(own func(address string) bool) Option { return func(c *Catalog) { c.own = own } }
+// WithOwnAddress sets the function that reports whether an address belongs to a router.
+func WithOwnAddress(own func(address string) bool) Option {
+	return func(c *Catalog) { c.ownAddress = own }
+}
 
-// New returns a catalog that knows nothing.
+// New returns an empty catalog.
 func New(opts ...Option) *Catalog {
 	c := &Catalog{
-		servers: map[string]Server{}, zones: map[string]zone{}, warmUntil: map[string]time.Duration{},
-		goneAt: map[string]time.Duration{}, vanished: map[string]vanished{}, unusable: map[string]bool{}, damaged: map[Reason]int64{},
-		retainedServers: map[string]retained[Server]{}, retainedZones: map[string]retained[Zone]{}, missingFor: DefaultUnlistedGrace,
+		servers: map[string]Server{}, zones: map[string]zone{}, warmupUntil: map[string]time.Duration{},
+		goneAt: map[string]time.Duration{}, vanished: map[string]vanished{}, unusable: map[string]bool{}, unusableTotals: map[Reason]int64{},
+		retainedServers: map[string]retained[Server]{}, retainedZones: map[string]retained[Zone]{}, unlistedGrace: DefaultUnlistedGrace,
 	}
 	for _, f := range opts {
 		f(c)
@@ -145,114 +146,113 @@
 	return c
 }
 
-// forgetAfter is how long an entry that is gone is remembered, so that news
-// which were under way all the while cannot bring it back.
-const forgetAfter = 5 * time.Minute
+// tombstoneTTL is how long removed entries are remembered, so that delayed updates cannot
+// restore them.
+const tombstoneTTL = 5 * time.Minute
 
 // AsOf returns the revision up to which the catalog is complete.
 func (c *Catalog) AsOf() Revision { return c.asOf }
 
-// View returns the table in force with all backend servers of the directory,
-// nil before there is a table. It is never changed once returned.
+// View returns the table in force with the backend servers of the directory added, nil while
+// there is no table. Callers must not modify it, and the catalog never does.
 func (c *Catalog) View() *table.Table { return c.view }
 
-// Merge takes news in at the time now and reports whether the view changed. News of an
-// earlier epoch say nothing, nor do those of a later one unless they hold everything.
-func (c *Catalog) Merge(now time.Duration, n Update) bool {
+// Merge applies an update at the time now and reports whether the view changed. It ignores
+// updates of earlier epochs, and incremental updates of later ones.
+func (c *Catalog) Merge(now time.Duration, u Update) bool {
 	c.now = now
-	whole := n.After == 0 && n.AsOf > 0
-	if n.Epoch < c.asOf.Epoch || n.Epoch > c.asOf.Epoch && !whole {
+	full := u.After == 0 && u.AsOf > 0
+	if u.Epoch < c.asOf.Epoch || u.Epoch > c.asOf.Epoch && !full {
 		return c.Refresh(now)
 	}
-	if n.Epoch > c.asOf.Epoch {
-		c.enter(now, &n)
+	if u.Epoch > c.asOf.Epoch {
+		c.enterEpoch(now, &u)
 	}
-	if whole {
-		c.noteWhole(n.AsOf)
+	if full {
+		c.noteFull(u.AsOf)
 	}
-	for _, j := range n.Jumps {
-		c.noteJump(j)
+	for _, j := range u.Jumps {
+		c.addJump(j)
 	}
-	highest, settled := c.highest, c.asOf.Number
-	if whole && n.AsOf >= settled {
-		// The list is of now: it tells what was missed as well.
-		settled = 0
+	highestBefore, completeTo := c.highest, c.asOf.Number
+	if full && u.AsOf >= completeTo {
+		// A current full update also has what earlier updates missed.
+		completeTo = 0
 	}
-	changed := c.mergeTable(n.Table)
-	for _, s := range n.Servers {
-		changed = c.mergeServer(now, s, settled) || changed
+	changed := c.mergeTable(u.Table)
+	for _, s := range u.Servers {
+		changed = c.mergeServer(now, s, completeTo) || changed
 	}
-	for _, z := range n.Zones {
-		changed = c.mergeZone(now, z, settled) || changed
+	for _, z := range u.Zones {
+		changed = c.mergeZone(now, z, completeTo) || changed
 	}
 	if c.change != nil {
 		c.change.finish(now)
 		c.change = nil
 	}
-	if n.AsOf > c.asOf.Number && highest > n.After {
-		changed = c.dropUnlisted(now, &n) || changed
-		changed = c.openUnlisted(now, &n) || changed
+	if u.AsOf > c.asOf.Number && highestBefore > u.After {
+		changed = c.removeUnlisted(now, &u) || changed
+		changed = c.openUnlisted(now, &u) || changed
 	}
-	if n.Retained != nil {
-		changed = c.mergeRetained(now, n.Retained) || changed
+	if u.Retained != nil {
+		changed = c.mergeRetained(now, u.Retained) || changed
 	}
-	if n.After <= c.asOf.Number {
-		c.asOf.Number = max(c.asOf.Number, n.AsOf)
+	if u.After <= c.asOf.Number {
+		c.asOf.Number = max(c.asOf.Number, u.AsOf)
 	}
-	c.forget(now)
+	c.dropTombstones(now)
 	c.dirty = c.dirty || changed
 	return c.Refresh(now)
 }
 
-// mergeTable takes in a table of the current epoch.
+// mergeTable applies a table of the current epoch and reports whether it is newer.
 func (c *Catalog) mergeTable(t *table.Table) bool {
 	if t == nil {
 		return false
 	}
-	c.history.note(t.Revision, digestOf(t))
-	isWrittenAgain := c.tableRetained && c.table.Edition == t.Edition
-	if c.table != nil && !isWrittenAgain && !t.Version().NewerThan(c.table.Version()) {
+	c.history.add(t.Revision, tableDigest(t))
+	isRewritten := c.tableRetained && c.table.Edition == t.Edition
+	if c.table != nil && !isRewritten && !t.Version().NewerThan(c.table.Version()) {
 		return false
 	}
 	c.table, c.tableRetained = t, false
 	return true
 }
 
-// joinEach bounds how often the view is made anew: not sooner after the last time than
-// so long for each backend server. To make it takes 1 us for each, so that at 3,000,
-// where the entries of a release change 20 times a second, it would else take a third of
-// a small router's time.
-const joinEach = 30 * time.Microsecond
+// rebuildCostPerServer is the minimum interval between two builds of the view, per backend
+// server. It limits the processor time that a large directory with frequent changes takes.
+const rebuildCostPerServer = 30 * time.Microsecond
 
-// joinsAtOnce is up to how many backend servers the view is made anew at each change.
-const joinsAtOnce = 256
+// maxImmediateRebuild is the number of entries up to which every change rebuilds the view at
+// once.
+const maxImmediateRebuild = 256
 
-// mayJoin reports whether the view may be made anew now.
-func (c *Catalog) mayJoin(now time.Duration) bool {
+// mayRebuild reports whether the view may be built now.
+func (c *Catalog) mayRebuild(now time.Duration) bool {
 	if c.table == nil {
 		return false
 	}
-	return c.view == nil || len(c.servers) <= joinsAtOnce || now-c.joinedAt >= joinEach*time.Duration(len(c.servers))
+	return c.view == nil || len(c.servers) <= maxImmediateRebuild || now-c.builtAt >= rebuildCostPerServer*time.Duration(len(c.servers))
 }
 
-// mergeServer takes in an entry unless a later change of it is known, or it is not above a
-// number up to which everything is.
-func (c *Catalog) mergeServer(now time.Duration, s Server, settled uint64) bool {
+// mergeServer applies an entry and reports whether the view changes. It ignores entries up to
+// the revision number completeTo, and those of which it knows the same or a later change.
+func (c *Catalog) mergeServer(now time.Duration, s Server, completeTo uint64) bool {
 	name := s.Backend.Name
 	old, known := c.servers[name]
-	if known && old.Revision >= s.Revision || s.Revision <= settled {
+	if known && old.Revision >= s.Revision || s.Revision <= completeTo {
 		return false
 	}
 	c.highest = max(c.highest, s.Revision)
 	if !s.Gone {
-		c.history.note(s.Revision, s.digest())
+		c.history.add(s.Revision, s.digest())
 	}
 	if k, isRetained := c.retainedServers[name]; isRetained {
 		old, known = k.item, true
 		delete(c.retainedServers, name)
 		c.names = nil
 	}
-	s = c.checked(s, old)
+	s = c.normalized(s, old)
 	if s.Gone && s.Last == 0 {
 		s.Last = old.lastLive()
 	}
@@ -266,19 +266,19 @@
 	delete(c.unusable, name)
 	if s.Gone {
 		c.goneAt[name] = now
-		delete(c.warmUntil, name)
+		delete(c.warmupUntil, name)
 		if known {
-			c.vanish(now, old)
+			c.noteRemoval(now, old)
 		}
 		return known && !old.Gone
 	}
 	delete(c.goneAt, name)
 	delete(c.vanished, name)
-	later := c.noteWarmup(now, &s.Backend)
-	return later || !known || old.Gone || !old.Backend.SameButWarmup(&s.Backend)
+	warmupChanged := c.updateWarmup(now, &s.Backend)
+	return warmupChanged || !known || old.Gone || !old.Backend.SameButWarmup(&s.Backend)
 }
 
-// lastLive returns the last change of an entry while it was there, 0 if it is not known.
+// lastLive returns the revision of the last change before any removal, 0 if unknown.
 func (s *Server) lastLive() uint64 {
 	if s.Gone {
 		return s.Last
@@ -286,57 +286,58 @@
 	return s.Revision
 }
 
-// mergeUnusable takes in an entry that cannot be used, and reports whether the view
-// changes: a backend server that was used before is left.
+// mergeUnusable applies an unusable entry and reports whether the view changes. A backend
+// server that was usable before becomes leaving.
 func (c *Catalog) mergeUnusable(s, old Server) bool {
 	name := s.Backend.Name
 	c.unusable[name] = true
 	delete(c.goneAt, name)
-	_, kept := c.vanished[name]
+	_, wasVanished := c.vanished[name]
 	delete(c.vanished, name)
-	c.note(s)
-	return kept || old.Backend.Mark != s.Backend.Mark
+	c.queueUnusable(s)
+	return wasVanished || old.Backend.Mark != s.Backend.Mark
 }
 
-// dropUnlisted takes away the entries that changed last after the revision since which the
-// news are complete, and which they do not hold: they are gone by now.
-func (c *Catalog) dropUnlisted(now time.Duration, n *Update) bool {
-	listed := make(map[string]bool, len(n.Servers))
-	for _, s := range n.Servers {
+// removeUnlisted removes the entries whose last change is in the range that the update covers
+// but which it does not list.
+func (c *Catalog) removeUnlisted(now time.Duration, u *Update) bool {
+	listed := make(map[string]bool, len(u.Servers))
+	for _, s := range u.Servers {
 		listed[s.Backend.Name] = true
 	}
-	for _, x := range n.Skipped {
+	for _, x := range u.Skipped {
 		listed[x.Server] = true
 	}
 	changed := false
 	for name, s := range c.servers {
-		if s.Gone || s.Revision <= n.After || s.Revision > n.AsOf || listed[name] {
+		if s.Gone || s.Revision <= u.After || s.Revision > u.AsOf || listed[name] {
 			continue
 		}
 		s, _ = c.current(name)
 		delete(c.retainedServers, name)
-		c.servers[name] = Server{Revision: n.AsOf, Gone: true, Last: s.lastLive(), Backend: table.Backend{Name: name}}
+		c.servers[name] = Server{Revision: u.AsOf, Gone: true, Last: s.lastLive(), Backend: table.Backend{Name: name}}
 		c.goneAt[name] = now
-		delete(c.warmUntil, name)
+		delete(c.warmupUntil, name)
 		delete(c.unusable, name)
-		c.vanish(now, s)
+		c.noteRemoval(now, s)
 		changed = true
 	}
 	return changed
 }
 
-func (c *Catalog) forget(now time.Duration) {
+// dropTombstones forgets removed entries after tombstoneTTL.
+func (c *Catalog) dropTombstones(now time.Duration) {
 	for name, at := range c.goneAt {
-		if now-at >= forgetAfter {
-			c.recordFrom = max(c.recordFrom, c.servers[name].Revision)
+		if now-at >= tombstoneTTL {
+			c.historyFrom = max(c.historyFrom, c.servers[name].Revision)
 			delete(c.goneAt, name)
 			delete(c.servers, name)
 		}
 	}
 }
 
-// sortedNames returns the names of all entries, sorted; among them may be some that
-// were forgotten.
+// sortedNames returns the sorted names of all entries. Some of them may have been dropped
+// since.
 func (c *Catalog) sortedNames() []string {
 	if c.names == nil {
 		c.names = slices.Collect(maps.Keys(c.servers))
@@ -350,30 +351,30 @@
 	return c.names
 }
 
-// join returns the table's rows and the directory's entries in one table.
-func (c *Catalog) join() *table.Table {
+// buildView returns a copy of the table that includes the usable directory entries.
+func (c *Catalog) buildView() *table.Table {
 	t := *c.table
 	t.Backends = make([]table.Backend, 0, len(c.table.Backends)+len(c.servers))
 	t.Backends = append(t.Backends, c.table.Backends...)
 	for _, name := range c.sortedNames() {
 		if s, ok := c.current(name); ok && !s.Gone {
-			if s.Unusable.IsSet() && s.Backend.Mark == "" || !c.inTable(&s.Backend) {
+			if s.Unusable.IsSet() && s.Backend.Mark == "" || !c.isServiceInTable(&s.Backend) {
 				continue
 			}
-			t.Backends = append(t.Backends, c.warming(s.Backend))
+			t.Backends = append(t.Backends, c.withWarmup(s.Backend))
 		}
 	}
-	lapsed := c.lapsed()
-	c.kept = len(lapsed)
-	t.Backends = append(t.Backends, lapsed...)
+	held := c.vanishedTogether()
+	c.vanishedInView = len(held)
+	t.Backends = append(t.Backends, held...)
 	t.Zones = c.zoneRows()
 	t.Index()
 	return &t
 }
 
-// inTable reports whether the table names a service of a backend server. One of which it
-// names none is left out until a later table does.
-func (c *Catalog) inTable(b *table.Backend) bool {
+// isServiceInTable reports whether the table defines a service of the backend server. Backend
+// servers without one stay out of the view until a later table defines it.
+func (c *Catalog) isServiceInTable(b *table.Backend) bool {
 	if len(c.table.Services) == 0 {
 		return true
 	}
--- a/pkg/catalog/epoch.go
+++ b/pkg/catalog/epoch.go
@@ -8,21 +8,21 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// A platform that comes back from a copy has lost what it published last. Until that is
-// written again, what it lists is older than what callers were served by: what this catalog
-// knew is retained, and overrides the list.
+// A platform that is restored from a backup has lost its latest changes. What it lists is then
+// older than what this catalog knew, so the catalog retains the newer items, which override the
+// list until they are published again or expire.
 
-// enter begins a new epoch with all that it lists.
-func (c *Catalog) enter(now time.Duration, n *Update) {
-	e := epochChange{c: c, from: c.asOf.Epoch, fromEntered: c.enteredNumber, listed: n, evidence: c.compareHistories(n)}
+// enterEpoch begins a new epoch before its full update is merged.
+func (c *Catalog) enterEpoch(now time.Duration, u *Update) {
+	e := epochChange{c: c, prevEpoch: c.asOf.Epoch, prevEntryNumber: c.epochEntryNumber, listed: u, evidence: c.compareHistories(u)}
 	e.servers, e.zones = c.allServers(), c.allZones()
-	c.asOf = Revision{Epoch: n.Epoch}
-	c.enteredAt, c.enteredNumber = now-n.EpochAge, n.AsOf
+	c.asOf = Revision{Epoch: u.Epoch}
+	c.epochSince, c.epochEntryNumber = now-u.EpochAge, u.AsOf
 	c.history, c.highest = history{}, 0
 	c.retainedServers, c.retainedZones = map[string]retained[Server]{}, map[string]retained[Zone]{}
 	c.tableRetained = c.table != nil
 	for name, s := range c.servers {
-		// Whatever the new epoch says of it counts.
+		// Revision 0 lets any entry of the new epoch replace this one.
 		s = e.servers[name].item
 		s.Revision = 0
 		c.servers[name] = s
@@ -36,19 +36,21 @@
 	c.change = &e
 }
 
-// epochChange is what was known when a new epoch began, while its list is taken in.
+// epochChange holds the state of the previous epoch while the first full update of a new one
+// is merged.
 type epochChange struct {
 	c *Catalog
-	// from is the epoch before, fromEntered the number as of which that was entered: later
-	// ones were given out in it.
-	from, fromEntered uint64
-	listed            *Update
-	evidence          evidence
-	servers           map[string]retained[Server]
-	zones             map[string]retained[Zone]
+	// prevEpoch is the previous epoch. prevEntryNumber is the revision number of the update
+	// that began it, so the previous epoch assigned the numbers above.
+	prevEpoch, prevEntryNumber uint64
+	listed                     *Update
+	evidence                   evidence
+	servers                    map[string]retained[Server]
+	zones                      map[string]retained[Zone]
 }
 
-// finish keeps what the list of the new epoch, now taken in, lacks or has older.
+// finish runs after the full update was merged. It retains what the update lacks or lists in
+// an older state.
 func (e *epochChange) finish(now time.Duration) {
 	for name, old := range e.servers {
 		e.finishServer(now, name, old)
@@ -64,21 +66,21 @@
 	c := e.c
 	s := c.servers[name]
 	if listed := s.Revision > 0; listed {
-		if e.mayPredate(s.Revision, old.Override) && contradicts(&old.item, &s) && !e.isNewStart(&old, &s) {
-			c.retainedServers[name] = retained[Server]{item: old.item, until: c.enteredAt + settleFor, Override: Override{Origin: old.Origin, Over: s.Revision}}
+		if e.mayPredate(s.Revision, old.Override) && contradicts(&old.item, &s) && !e.isNewIncarnation(&old, &s) {
+			c.retainedServers[name] = retained[Server]{item: old.item, until: c.epochSince + overrideTTL, Override: Override{Origin: old.Origin, Over: s.Revision}}
 		}
 		return
 	}
 	delete(c.servers, name)
 	delete(c.goneAt, name)
-	if !old.item.Gone && e.wasInCopy(old.Origin) {
-		// The copy had it, so it was removed since.
+	if !old.item.Gone && e.wasInBackup(old.Origin) {
+		// The backup had the entry, so it was removed after the restore.
 		c.servers[name] = Server{Revision: e.listed.AsOf, Gone: true, Backend: table.Backend{Name: name}}
 		c.goneAt[name] = now
-		c.vanish(now, old.item)
+		c.noteRemoval(now, old.item)
 		return
 	}
-	c.retainedServers[name] = retained[Server]{item: old.item, until: c.enteredAt + c.missingFor, Override: Override{Origin: old.Origin}}
+	c.retainedServers[name] = retained[Server]{item: old.item, until: c.epochSince + c.unlistedGrace, Override: Override{Origin: old.Origin}}
 }
 
 func (e *epochChange) finishZone(name string, old retained[Zone]) {
@@ -89,7 +91,7 @@
 	switch {
 	case listed && (!e.mayPredate(z.Revision, old.Override) || z.Closed == old.item.Closed):
 		return
-	case !listed && (!old.item.Closed || e.wasInCopy(old.Origin)):
+	case !listed && (!old.item.Closed || e.wasInBackup(old.Origin)):
 		if old.item.Closed {
 			z.opened = c.now
 		}
@@ -101,34 +103,34 @@
 		z.Zone = Zone{Name: name}
 		c.zones[name] = z
 	}
-	c.retainedZones[name] = retained[Zone]{item: old.item, until: c.enteredAt + settleFor, Override: override}
+	c.retainedZones[name] = retained[Zone]{item: old.item, until: c.epochSince + overrideTTL, Override: override}
 }
 
-// mayPredate reports whether what is listed with a number may have been written before an item
-// of an earlier epoch. Numbers of both are those of one history up to the copy.
+// mayPredate reports whether a listed item with the given revision number may be older than an
+// item of an earlier epoch. Up to the backup, both epochs share one history.
 func (e *epochChange) mayPredate(number uint64, old Override) bool {
-	if number >= e.evidence.foreign {
+	if number >= e.evidence.firstReused {
 		return false
 	}
-	if old.Origin.Epoch < e.from && number > e.fromEntered {
+	if old.Origin.Epoch < e.prevEpoch && number > e.prevEntryNumber {
 		return number <= old.Over
 	}
 	return number <= old.Over || number < old.Origin.Number
 }
 
-// isNewStart reports whether an entry was written after the last one that was known before it
-// went: the copy cannot hold that.
-func (e *epochChange) isNewStart(old *retained[Server], listed *Server) bool {
-	return old.Origin.Epoch == e.from && old.item.Gone && old.item.Last > 0 && listed.Revision > old.item.Last
+// isNewIncarnation reports whether the listed entry was written after the last change of an
+// entry that was then removed. The backup cannot contain such an entry.
+func (e *epochChange) isNewIncarnation(old *retained[Server], listed *Server) bool {
+	return old.Origin.Epoch == e.prevEpoch && old.item.Gone && old.item.Last > 0 && listed.Revision > old.item.Last
 }
 
-// wasInCopy reports whether the copy held an item of the epoch before.
-func (e *epochChange) wasInCopy(origin Revision) bool {
-	return origin.Epoch == e.from && origin.Number <= e.evidence.common
+// wasInBackup reports whether the backup contained an item of the previous epoch.
+func (e *epochChange) wasInBackup(origin Revision) bool {
+	return origin.Epoch == e.prevEpoch && origin.Number <= e.evidence.commonUpTo
 }
 
-// contradicts reports whether an entry says something else than a later one of the epoch
-// before, which is not what a backend server says in the course of a start.
+// contradicts reports whether the listed entry conflicts with a later one of an earlier epoch,
+// in a way that one incarnation of a backend server does not change its entry.
 func contradicts(later, listed *Server) bool {
 	switch {
 	case listed.Unusable.IsSet() || later.Unusable.IsSet():
@@ -142,43 +144,44 @@
 	}
 }
 
-// evidence is what the list of a new epoch tells of how far the copy goes.
+// evidence is what the first full update of an epoch shows about the age of the backup.
 type evidence struct {
-	// common is a number up to which the histories of both epochs are the same.
-	common uint64
-	// foreign is a number from which on all were given out in the new epoch.
-	foreign uint64
+	// commonUpTo is a revision number up to which both epochs have the same history.
+	commonUpTo uint64
+	// firstReused is a revision number from which on the new epoch assigned all numbers.
+	firstReused uint64
 }
 
-// compareHistories compares a list of a new epoch with what recent numbers of this one were of.
-func (c *Catalog) compareHistories(n *Update) evidence {
-	x := evidence{foreign: math.MaxUint64}
+// compareHistories compares the items of a full update with what the current epoch published
+// under the same revision numbers.
+func (c *Catalog) compareHistories(u *Update) evidence {
+	ev := evidence{firstReused: math.MaxUint64}
 	observe := func(number, digest uint64) {
-		switch same, isKnown := c.history.same(number, digest); {
-		case isKnown && same:
-			x.common = max(x.common, number)
+		switch matches, isKnown := c.history.matches(number, digest); {
+		case isKnown && matches:
+			ev.commonUpTo = max(ev.commonUpTo, number)
 		case isKnown:
-			x.foreign = min(x.foreign, number)
+			ev.firstReused = min(ev.firstReused, number)
 		}
 	}
-	for i := range n.Servers {
-		if !n.Servers[i].Gone {
-			observe(n.Servers[i].Revision, n.Servers[i].digest())
+	for i := range u.Servers {
+		if !u.Servers[i].Gone {
+			observe(u.Servers[i].Revision, u.Servers[i].digest())
 		}
 	}
-	for _, z := range n.Zones {
+	for _, z := range u.Zones {
 		if z.Closed {
 			observe(z.Revision, z.digest())
 		}
 	}
-	if n.Table != nil {
-		observe(n.Table.Revision, digestOf(n.Table))
+	if u.Table != nil {
+		observe(u.Table.Revision, tableDigest(u.Table))
 	}
-	x.common = min(x.common, x.foreign-1)
-	return x
+	ev.commonUpTo = min(ev.commonUpTo, ev.firstReused-1)
+	return ev
 }
 
-// allServers returns all entries as they count.
+// allServers returns all entries by name, retained ones in preference to published ones.
 func (c *Catalog) allServers() map[string]retained[Server] {
 	all := make(map[string]retained[Server], len(c.servers)+len(c.retainedServers))
 	for name, s := range c.servers {
--- a/pkg/catalog/history.go
+++ b/pkg/catalog/history.go
@@ -8,52 +8,52 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// historySize is of how many recent revisions is remembered what they were of: at 20 changes
-// a second, those of 100 s.
+// historySize is the number of recent revisions that a history holds.
 const historySize = 2048
 
-// history remembers what was published with recent revisions of an epoch. In the next one a
-// number may be of something else, which shows that it was given out again.
+// history holds digests of what was published at recent revisions of an epoch. If a later
+// epoch has other content at the same number, it assigned that number anew.
 type history struct {
 	ring [historySize]published
 }
 
 type published struct{ number, digest uint64 }
 
-// note remembers what a revision was of. It is not for removals: that of one that was found out
-// by a list bears the number of the list, which was of something else.
-func (h *history) note(number, digest uint64) {
-	if at := &h.ring[number%historySize]; at.number <= number {
-		*at = published{number, digest}
+// add records the content of a revision. Do not add removals: one inferred from a full update
+// has the number of that update, which belongs to another change.
+func (h *history) add(number, digest uint64) {
+	if slot := &h.ring[number%historySize]; slot.number <= number {
+		*slot = published{number, digest}
 	}
 }
 
-// same reports whether a revision was of something with a digest, if that is known.
-func (h *history) same(number, digest uint64) (same, isKnown bool) {
-	at := h.ring[number%historySize]
-	return at.digest == digest, at.number == number && number > 0
+// matches reports whether a revision had the content with the given digest, and whether the
+// history holds that revision.
+func (h *history) matches(number, digest uint64) (same, isKnown bool) {
+	slot := h.ring[number%historySize]
+	return slot.digest == digest, slot.number == number && number > 0
 }
 
-// digest is of what does not change while an entry does not.
+// digest covers the fields that change only with a new revision.
 func (s *Server) digest() uint64 {
 	if s.Unusable.IsSet() {
-		return digestWords("server", s.Backend.Name)
+		return hashStrings("server", s.Backend.Name)
 	}
 	b := &s.Backend
-	return digestWords("server", b.Name, string(b.Mark), b.Address, strconv.FormatInt(b.Born, 10), strconv.Itoa(b.Slots))
+	return hashStrings("server", b.Name, string(b.Mark), b.Address, strconv.FormatInt(b.Born, 10), strconv.Itoa(b.Slots))
 }
 
-func (z *Zone) digest() uint64 { return digestWords("zone", z.Name) }
+func (z *Zone) digest() uint64 { return hashStrings("zone", z.Name) }
 
-func digestOf(t *table.Table) uint64 {
-	return digestWords("table", strconv.FormatUint(t.Edition, 10))
+func tableDigest(t *table.Table) uint64 {
+	return hashStrings("table", strconv.FormatUint(t.Edition, 10))
 }
 
-func digestWords(words ...string) uint64 {
+func hashStrings(parts ...string) uint64 {
 	d := xxhash.New()
-	for _, w := range words {
+	for _, part := range parts {
 		// Writing to a digest never fails.
-		_, _ = d.WriteString(w)
+		_, _ = d.WriteString(part)
 		_, _ = d.Write([]byte{0})
 	}
 	return d.Sum64()
--- a/pkg/catalog/retained.go
+++ b/pkg/catalog/retained.go
@@ -8,20 +8,20 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// settleFor is for how long an item of an earlier epoch overrides what the copy lists: longer
-// than an entry lasts whose backend server has ended.
-const settleFor = 10 * time.Second
+// overrideTTL is how long an item of an earlier epoch overrides what the backup lists. It
+// exceeds the lifetime of the entry of a backend server that has stopped.
+const overrideTTL = 10 * time.Second
 
-// DefaultUnlistedGrace is for how long a backend server is retained that the copy does not list.
+// DefaultUnlistedGrace is the default for WithUnlistedGrace.
 const DefaultUnlistedGrace = 1500 * time.Millisecond
 
-// WithUnlistedGrace sets for how long a backend server is retained that a new epoch does not list,
-// since it may have come after the copy; it enters itself again within that.
-func WithUnlistedGrace(d time.Duration) Option { return func(c *Catalog) { c.missingFor = d } }
+// WithUnlistedGrace sets how long a backend server is retained that a new epoch does not list.
+// It may have registered after the backup was made, and registers again within that time.
+func WithUnlistedGrace(d time.Duration) Option { return func(c *Catalog) { c.unlistedGrace = d } }
 
-// Retained is what an earlier epoch published last, and the current one has not written again.
+// Retained is what earlier epochs published and the current one has not published again.
 type Retained struct {
-	// Table is the operators' table, nil if that is of the current epoch.
+	// Table is the operators' table, nil if the current epoch published it.
 	Table   *table.Table
 	Servers []RetainedServer
 	Zones   []RetainedZone
@@ -33,24 +33,24 @@
 	Override Override
 }
 
-// RetainedZone is a mark of an earlier epoch.
+// RetainedZone is a zone mark of an earlier epoch.
 type RetainedZone struct {
 	Zone     Zone
 	Override Override
 }
 
-// Override says what an item of an earlier epoch overrides, and for how long.
+// Override says which published item an item of an earlier epoch overrides, and for how long.
 type Override struct {
-	// Origin is the item's own revision.
+	// Origin is the retained item's own revision.
 	Origin Revision
-	// Over is the number in the current epoch of what is listed in its place, 0 if nothing.
-	// Whatever is written later replaces the item.
+	// Over is the revision number of the overridden item in the current epoch, 0 if there is
+	// none. A later revision replaces the retained item.
 	Over uint64
-	// Left is for how much longer it is retained.
+	// Left is the remaining retention time.
 	Left time.Duration
 }
 
-// retained is an item of an earlier epoch, with the time at which it expires.
+// retained is an item of an earlier epoch and the time at which it expires.
 type retained[T any] struct {
 	item  T
 	until time.Duration
@@ -60,7 +60,7 @@
 // Empty reports whether nothing is retained.
 func (k *Retained) Empty() bool { return k.Table == nil && len(k.Servers) == 0 && len(k.Zones) == 0 }
 
-// Retained returns what is retained of earlier epochs, nil if nothing is.
+// Retained returns what is retained from earlier epochs, nil if nothing is.
 func (c *Catalog) Retained() *Retained {
 	k := &Retained{}
 	if c.tableRetained {
@@ -69,14 +69,14 @@
 	for _, name := range slices.Sorted(maps.Keys(c.retainedServers)) {
 		x := c.retainedServers[name]
 		if x.item.Gone && x.Over == 0 {
-			// It only guards against what others retain.
+			// It only keeps other routers from restoring the entry here.
 			continue
 		}
-		k.Servers = append(k.Servers, RetainedServer{Server: x.item, Override: x.at(c.now)})
+		k.Servers = append(k.Servers, RetainedServer{Server: x.item, Override: x.overrideAt(c.now)})
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.retainedZones)) {
 		x := c.retainedZones[name]
-		k.Zones = append(k.Zones, RetainedZone{Zone: x.item, Override: x.at(c.now)})
+		k.Zones = append(k.Zones, RetainedZone{Zone: x.item, Override: x.overrideAt(c.now)})
 	}
 	if k.Empty() {
 		return nil
@@ -84,13 +84,14 @@
 	return k
 }
 
-func (k *retained[T]) at(now time.Duration) Override {
+// overrideAt returns the override with the retention time left at now.
+func (k *retained[T]) overrideAt(now time.Duration) Override {
 	s := k.Override
 	s.Left = k.until - now
 	return s
 }
 
-// mergeRetained takes in what another router keeps of earlier epochs.
+// mergeRetained applies what another router retains and reports whether the view changes.
 func (c *Catalog) mergeRetained(now time.Duration, k *Retained) bool {
 	changed := false
 	if k.Table != nil && (c.table == nil || k.Table.Version().NewerThan(c.table.Version())) {
@@ -99,10 +100,10 @@
 	}
 	for _, x := range k.Servers {
 		b := &x.Server.Backend
-		if c.isOwn(b.Address) || !mayOverride(c.servers[b.Name].Revision, c.retainedServers[b.Name].Origin, x.Override) {
+		if c.isOwnAddress(b.Address) || !mayOverride(c.servers[b.Name].Revision, c.retainedServers[b.Name].Origin, x.Override) {
 			continue
 		}
-		c.retainedServers[b.Name] = retained[Server]{item: x.Server, until: now + min(x.Override.Left, settleFor), Override: x.Override}
+		c.retainedServers[b.Name] = retained[Server]{item: x.Server, until: now + min(x.Override.Left, overrideTTL), Override: x.Override}
 		c.names = nil
 		changed = true
 	}
@@ -111,28 +112,29 @@
 		if !mayOverride(c.zones[name].Revision, c.retainedZones[name].Origin, x.Override) {
 			continue
 		}
-		c.retainedZones[name] = retained[Zone]{item: x.Zone, until: now + min(x.Override.Left, settleFor), Override: x.Override}
+		c.retainedZones[name] = retained[Zone]{item: x.Zone, until: now + min(x.Override.Left, overrideTTL), Override: x.Override}
 		changed = true
 	}
 	return changed
 }
 
-// mayOverride reports whether an item of an earlier epoch overrides what is listed here with
-// a number, 0 for nothing, and what is retained already.
+// mayOverride reports whether an item with the given override applies here, where the item
+// listed has the revision number listed, 0 for none, and the one already retained comes from
+// retainedOrigin.
 func mayOverride(listed uint64, retainedOrigin Revision, x Override) bool {
 	return listed == x.Over && retainedOrigin.Before(x.Origin) && x.Left > 0
 }
 
-// expireRetained drops what has expired, and reports whether the view changes by that.
+// expireRetained drops what has expired and reports whether the view changes.
 func (c *Catalog) expireRetained(now time.Duration) bool {
 	changed := false
 	for name, k := range c.retainedServers {
 		isMissing := k.Over == 0 && !k.item.Gone
 		switch {
 		case isMissing && now >= k.until:
-			// It has gone, and guards against an older entry.
+			// A tombstone keeps other routers from restoring an older entry.
 			k.item = Server{Revision: k.item.Revision, Gone: true, Last: k.item.Revision, Backend: table.Backend{Name: name}}
-			k.until = c.enteredAt + settleFor
+			k.until = c.epochSince + overrideTTL
 			c.retainedServers[name] = k
 			changed = true
 		case c.hasExpired(now, k.until):
@@ -155,16 +157,16 @@
 	return changed
 }
 
-// MarkVerified notes that nothing newer was published at a time than what is known.
+// MarkVerified records that the catalog was current at the given time.
 func (c *Catalog) MarkVerified(at time.Duration) { c.verifiedAt = max(c.verifiedAt, at) }
 
-// hasExpired reports whether something has been retained for long enough: it is dropped only
-// once this catalog is known to hold the newest since then.
+// hasExpired reports whether the time until has passed and the catalog has been verified
+// since. A router that is cut off from the platform thus keeps what it retains.
 func (c *Catalog) hasExpired(now, until time.Duration) bool {
 	return now >= until && c.verifiedAt >= until
 }
 
-// current returns an entry as it counts.
+// current returns the entry in force, which is the retained one if there is one.
 func (c *Catalog) current(name string) (s Server, ok bool) {
 	if k, isRetained := c.retainedServers[name]; isRetained {
 		return k.item, true
@@ -173,7 +175,7 @@
 	return s, ok
 }
 
-// isClosed reports whether a zone counts as closed.
+// isClosed reports whether a zone is closed.
 func (c *Catalog) isClosed(name string) bool {
 	if k, isRetained := c.retainedZones[name]; isRetained {
 		return k.item.Closed
--- a/pkg/catalog/revision.go
+++ b/pkg/catalog/revision.go
@@ -1,16 +1,15 @@
 package catalog
 
-// Revision is a place in the order of what the platform published.
+// Revision orders what the platform publishes.
 type Revision struct {
-	// Epoch counts how often the platform came back from a copy that lacked what it had
-	// published last; 0 if it does not say. It only grows.
+	// Epoch is incremented whenever the platform restarts from a backup that lacks its latest
+	// changes. It is 0 if the platform reports none.
 	Epoch uint64
-	// Number only grows within an epoch. In the next one numbers are given out again.
+	// Number grows within an epoch. A new epoch may assign the same numbers again.
 	Number uint64
 }
 
-// Before reports whether a revision comes before another one, as far as that can be known
-// of numbers of different epochs: a later epoch goes on from a copy of an earlier one.
+// Before reports whether r is older than other. A later epoch always counts as newer.
 func (r Revision) Before(other Revision) bool {
 	if r.Epoch != other.Epoch {
 		return r.Epoch < other.Epoch
@@ -18,5 +17,5 @@
 	return r.Number < other.Number
 }
 
-// IsZero reports whether nothing is known.
+// IsZero reports whether r is the zero Revision.
 func (r Revision) IsZero() bool { return r == Revision{} }
--- a/pkg/catalog/since.go
+++ b/pkg/catalog/since.go
@@ -7,78 +7,77 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// Since returns what changed after a number of the current epoch, everything for 0 and where
-// not all removals after it are remembered.
+// Since returns the changes after a revision number of the current epoch. It returns a full
+// update for 0, and if not all removals since then are known.
 func (c *Catalog) Since(after uint64) Update {
-	after = c.recordedFrom(after)
-	n := Update{Epoch: c.asOf.Epoch, EpochAge: c.now - c.enteredAt, After: after, AsOf: c.asOf.Number}
+	after = c.completeSince(after)
+	u := Update{Epoch: c.asOf.Epoch, EpochAge: c.now - c.epochSince, After: after, AsOf: c.asOf.Number}
 	if after >= c.asOf.Number {
-		n.After = c.asOf.Number
-		return n
+		u.After = c.asOf.Number
+		return u
 	}
 	if after == 0 {
-		n.Retained = c.Retained()
+		u.Retained = c.Retained()
 	}
 	for _, j := range c.jumps {
 		if j.To > after {
-			n.Jumps = append(n.Jumps, j)
+			u.Jumps = append(u.Jumps, j)
 		}
 	}
 	if c.table != nil && c.table.Revision > after {
-		n.Table = c.table
+		u.Table = c.table
 	}
 	for name, s := range c.servers {
 		if s.Revision > after {
 			if s.Unusable.IsSet() {
 				s.Backend = table.Backend{Name: name}
 			}
-			s.Backend.WarmupLeft = max(0, c.warmUntil[name]-c.now)
-			n.Servers = append(n.Servers, s)
+			s.Backend.WarmupLeft = max(0, c.warmupUntil[name]-c.now)
+			u.Servers = append(u.Servers, s)
 		}
 	}
-	slices.SortFunc(n.Servers, func(a, b Server) int { return cmp.Compare(a.Backend.Name, b.Backend.Name) })
-	n.Zones = c.zonesSince(after)
-	return n
+	slices.SortFunc(u.Servers, func(a, b Server) int { return cmp.Compare(a.Backend.Name, b.Backend.Name) })
+	u.Zones = c.zonesSince(after)
+	return u
 }
 
-// Jump is a step from what was known up to a number to a whole list as of another one: what
-// came and went within it is not known.
+// Jump is a step from the state as of one revision number to a full update as of another.
+// Items that were added and removed between them are unknown.
 type Jump struct{ From, To uint64 }
 
-// mostJumps bounds the jumps that are remembered. Who asks for what came after an earlier
-// one is told everything.
-const mostJumps = 16
+// maxJumps bounds the jumps kept. Requests for changes after an older one get a full update.
+const maxJumps = 16
 
-// noteWhole takes in that everything is listed as of a number.
-func (c *Catalog) noteWhole(to uint64) {
+// noteFull records that a full update as of the number to was received.
+func (c *Catalog) noteFull(to uint64) {
 	if c.asOf.Number == 0 {
-		c.recordFrom, c.jumps = to, nil
+		c.historyFrom, c.jumps = to, nil
 		return
 	}
-	c.noteJump(Jump{From: c.asOf.Number, To: to})
+	c.addJump(Jump{From: c.asOf.Number, To: to})
 }
 
-// noteJump takes in a jump of this catalog's own, or of one that told it news.
-func (c *Catalog) noteJump(j Jump) {
+// addJump records a jump made here or by the router that sent an update.
+func (c *Catalog) addJump(j Jump) {
 	if j.To <= j.From+1 || slices.Contains(c.jumps, j) {
 		return
 	}
 	c.jumps = append(c.jumps, j)
-	if len(c.jumps) <= mostJumps {
+	if len(c.jumps) <= maxJumps {
 		return
 	}
 	slices.SortFunc(c.jumps, func(a, b Jump) int { return cmp.Compare(a.To, b.To) })
-	c.recordFrom = max(c.recordFrom, c.jumps[0].To)
+	c.historyFrom = max(c.historyFrom, c.jumps[0].To)
 	c.jumps = slices.Delete(c.jumps, 0, 1)
 }
 
-// HasHistorySince reports whether all that changed after a number of the current epoch can be told
-// without telling everything.
-func (c *Catalog) HasHistorySince(number uint64) bool { return c.recordedFrom(number) > 0 }
+// HasHistorySince reports whether an incremental update can cover all changes after a revision
+// number of the current epoch.
+func (c *Catalog) HasHistorySince(number uint64) bool { return c.completeSince(number) > 0 }
 
-// recordedFrom returns the last number up to one since which all changes can be told, 0 if
-// everything is to be told.
-func (c *Catalog) recordedFrom(number uint64) uint64 {
+// completeSince returns the highest revision number, at most the given one, since which all
+// changes are known. It returns 0 if only a full update covers them.
+func (c *Catalog) completeSince(number uint64) uint64 {
 	for {
 		i := slices.IndexFunc(c.jumps, func(j Jump) bool { return number > j.From && number < j.To })
 		if i < 0 {
@@ -86,7 +85,7 @@
 		}
 		number = c.jumps[i].From
 	}
-	if number < c.recordFrom {
+	if number < c.historyFrom {
 		return 0
 	}
 	return number
--- a/pkg/catalog/unusable.go
+++ b/pkg/catalog/unusable.go
@@ -8,55 +8,53 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// Reason says in a word why an entry of the directory cannot be used.
+// Reason says why a directory entry cannot be used.
 type Reason string
 
-// The reasons. The field that is the matter override beside them.
+// The reasons. Unusable.Field names the field concerned.
 const (
-	// Unreadable: its bytes are not what an entry is written in.
+	// Unreadable: the bytes cannot be decoded.
 	Unreadable Reason = "unreadable"
-	// TooLarge: it is larger than any entry can be.
+	// TooLarge: the entry exceeds the size limit.
 	TooLarge Reason = "too-large"
-	// MissingField and WrongType: a field that it must have is not there, or is a
-	// value of another type.
+	// MissingField and WrongType: a required field is missing or has the wrong type.
 	MissingField Reason = "missing-field"
 	WrongType    Reason = "wrong-type"
-	// BadValue: a field's value is none that can be used.
+	// BadValue: the value of a field is invalid.
 	BadValue Reason = "bad-value"
-	// DuplicateField: a field is there more than once, so that nobody can know which holds.
+	// DuplicateField: a field occurs more than once.
 	DuplicateField Reason = "given-twice"
-	// OwnAddress: its address is a router's own, to which requests would go round.
+	// OwnAddress: the address belongs to a router, so requests would loop.
 	OwnAddress Reason = "own-address"
 )
 
-// Unusable says why an entry names no backend server to use; its zero value that it
-// does. An entry may be damaged, or another program's.
+// Unusable says why an entry cannot be used as a backend server. The zero value means that it
+// can. The entry may be damaged or written by another program.
 type Unusable struct {
 	Reason Reason
-	// Field is which field is the matter, "" if it is the whole entry.
+	// Field is the name of the field concerned, "" for the whole entry.
 	Field string
 }
 
 // IsSet reports whether the entry cannot be used.
 func (u Unusable) IsSet() bool { return u.Reason != "" }
 
-// Skipped is something that was published and says nothing that can be used: neither an
-// entry with a name nor a table.
+// Skipped is a published item that is neither an entry with a name nor a table.
 type Skipped struct {
-	// Key is where it is published, as far as that can be read.
+	// Key is the item's key, as far as it can be read.
 	Key      string
 	Revision uint64
 	Unusable Unusable
-	// Server and Zone are the name of the entry or mark that it is of, "" if it is of
-	// none: what was known of that stays.
+	// Server and Zone name the entry or zone mark that the item belongs to, "" if none. What
+	// was known of that stays in force.
 	Server, Zone string
 }
 
-// mostSlots bounds what an entry may say of its slots: the largest batches of engines
-// are some hundreds, and a figure beyond this is a slip that would draw all requests.
-const mostSlots = 100_000
+// maxSlots bounds the slots of an entry. A higher figure is an error that would attract all
+// requests.
+const maxSlots = 100_000
 
-// Check returns why a row cannot be used as a backend server, whoever told it.
+// Check returns why a row cannot be used as a backend server.
 func Check(b *table.Backend) Unusable {
 	address, err := netip.ParseAddrPort(b.Address)
 	switch {
@@ -66,7 +64,7 @@
 		return Unusable{BadValue, "address"}
 	case b.Zone == "":
 		return Unusable{BadValue, "zone"}
-	case b.Slots < 1 || b.Slots > mostSlots:
+	case b.Slots < 1 || b.Slots > maxSlots:
 		return Unusable{BadValue, "slots"}
 	case b.Mark != table.Serving && b.Mark != table.Leaving:
 		return Unusable{BadValue, "state"}
@@ -75,30 +73,30 @@
 	}
 }
 
-// Checked returns news as another router told them with the entries that cannot be used
-// marked as such: it may have other rules, or be another program.
-func (n Update) Checked() Update {
+// Checked returns an update from another router with the unusable entries marked as such. The
+// other router may apply different rules.
+func (u Update) Checked() Update {
 	shared := true
-	for i := range n.Servers {
-		s := &n.Servers[i]
+	for i := range u.Servers {
+		s := &u.Servers[i]
 		if s.Gone || s.Unusable.IsSet() {
 			continue
 		}
-		why := Check(&s.Backend)
-		if !why.IsSet() {
+		unusable := Check(&s.Backend)
+		if !unusable.IsSet() {
 			continue
 		}
 		if shared {
-			// What was told may be shared with whoever told it.
-			n.Servers, shared = slices.Clone(n.Servers), false
+			// The slice may be shared with the sender.
+			u.Servers, shared = slices.Clone(u.Servers), false
 		}
-		n.Servers[i].Unusable = why
+		u.Servers[i].Unusable = unusable
 	}
-	n.Retained = n.Retained.checked()
-	return n
+	u.Retained = u.Retained.checked()
+	return u
 }
 
-// checked returns what is kept without the entries that cannot be used.
+// checked returns what is retained without the unusable entries.
 func (k *Retained) checked() *Retained {
 	if k == nil {
 		return nil
@@ -108,14 +106,14 @@
 	})}
 }
 
-// checked returns an entry as it counts: one that cannot be used says nothing but that,
-// and leaves what was known of its backend server before, which gets nothing new.
-func (c *Catalog) checked(s Server, old Server) Server {
+// normalized returns an entry in the form that is stored. An unusable entry keeps the backend
+// server that was known before, marked as leaving so that it gets no new requests.
+func (c *Catalog) normalized(s Server, old Server) Server {
 	if s.Gone {
 		s.Unusable = Unusable{}
 		return s
 	}
-	if !s.Unusable.IsSet() && c.isOwn(s.Backend.Address) {
+	if !s.Unusable.IsSet() && c.isOwnAddress(s.Backend.Address) {
 		s.Unusable = Unusable{OwnAddress, "address"}
 	}
 	if !s.Unusable.IsSet() {
@@ -129,38 +127,41 @@
 	return s
 }
 
-func (c *Catalog) isOwn(address string) bool { return c.own != nil && c.own(address) }
+func (c *Catalog) isOwnAddress(address string) bool {
+	return c.ownAddress != nil && c.ownAddress(address)
+}
 
-// mostNoted bounds the entries whose reasons wait to be logged.
-const mostNoted = 64
+// maxUnusableQueue bounds the entries that wait for DrainUnusable, and those that Unusable
+// returns.
+const maxUnusableQueue = 64
 
-// note keeps an entry that cannot be used until DrainUnusable is called.
-func (c *Catalog) note(s Server) {
-	c.damaged[s.Unusable.Reason]++
-	if len(c.noted) < mostNoted {
-		c.noted = append(c.noted, s)
+// queueUnusable counts an unusable entry and queues it for DrainUnusable.
+func (c *Catalog) queueUnusable(s Server) {
+	c.unusableTotals[s.Unusable.Reason]++
+	if len(c.unusableQueue) < maxUnusableQueue {
+		c.unusableQueue = append(c.unusableQueue, s)
 	}
 }
 
-// DrainUnusable returns the entries that turned out to be of no use since the last call, of
-// which there may be some more.
+// DrainUnusable returns the entries found unusable since the last call, at most
+// maxUnusableQueue of them.
 func (c *Catalog) DrainUnusable() (list []Server) {
-	list, c.noted = c.noted, nil
+	list, c.unusableQueue = c.unusableQueue, nil
 	return list
 }
 
-// UnusableTotals returns how many entries turned out to be of no use since the start, by reason.
-func (c *Catalog) UnusableTotals() map[Reason]int64 { return maps.Clone(c.damaged) }
+// UnusableTotals returns how many entries were found unusable since the start, by reason.
+func (c *Catalog) UnusableTotals() map[Reason]int64 { return maps.Clone(c.unusableTotals) }
 
-// Unusable returns why entries cannot be used, by their names, mostNoted at the most, and
-// how many there are.
+// Unusable returns why entries are unusable, by name, for at most maxUnusableQueue of them.
+// The count covers all.
 func (c *Catalog) Unusable() (list map[string]Unusable, count int) {
 	if len(c.unusable) == 0 {
 		return nil, 0
 	}
 	list = map[string]Unusable{}
 	for name := range c.unusable {
-		if len(list) == mostNoted {
+		if len(list) == maxUnusableQueue {
 			break
 		}
 		list[name] = c.servers[name].Unusable
--- a/pkg/catalog/vanish.go
+++ b/pkg/catalog/vanish.go
@@ -8,62 +8,61 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// vanished is an entry that was removed without having been marked first.
+// vanished is an entry that was removed without having been marked as leaving.
 type vanished struct {
 	backend table.Backend
 	at      time.Duration
 }
 
-// leastVanished is how many of a service's backend servers must vanish at
-// least to be kept for a while.
-const leastVanished = 2
+// minVanished is the minimum number of a service's backend servers that must vanish for them
+// to be kept.
+const minVanished = 2
 
-// vanish notes that an entry was removed. One that was marked as leaving
-// before has left as planned.
-func (c *Catalog) vanish(now time.Duration, old Server) {
+// noteRemoval records the removal of an entry unless it was planned: the entry was then marked as
+// leaving first.
+func (c *Catalog) noteRemoval(now time.Duration, old Server) {
 	if !old.Gone && old.Backend.Mark == table.Serving {
 		c.vanished[old.Backend.Name] = vanished{backend: old.Backend, at: now}
 	}
 }
 
-// Refresh lets time pass and reports whether the view changed.
+// Refresh expires items at the time now and reports whether the view changed.
 func (c *Catalog) Refresh(now time.Duration) bool {
 	c.now = now
 	before := len(c.vanished)
-	maps.DeleteFunc(c.vanished, func(_ string, v vanished) bool { return now-v.at >= c.keep })
-	if len(c.vanished) < before && c.kept > 0 {
+	maps.DeleteFunc(c.vanished, func(_ string, v vanished) bool { return now-v.at >= c.removalGrace })
+	if len(c.vanished) < before && c.vanishedInView > 0 {
 		c.dirty = true
 	}
 	c.dirty = c.expireRetained(now) || c.dirty
-	if !c.dirty || !c.mayJoin(now) {
+	if !c.dirty || !c.mayRebuild(now) {
 		return false
 	}
-	c.view, c.dirty, c.joinedAt = c.join(), false, now
+	c.view, c.dirty, c.builtAt = c.buildView(), false, now
 	return true
 }
 
-// lapsed returns the backend servers that are kept though their entries are
-// gone: where at least half of a service's vanish together, it is more likely
-// that the directory lost them, as when it was down for longer than entries
-// last, than that all of them failed; those that did are found out by requests.
-func (c *Catalog) lapsed() []table.Backend {
+// vanishedTogether returns the backend servers that stay in the view although their entries
+// are gone. If at least half of a service's backend servers vanish, a fault of the directory
+// is more likely than a failure of all of them. Requests detect those that did fail.
+func (c *Catalog) vanishedTogether() []table.Backend {
 	if len(c.vanished) == 0 {
 		return nil
 	}
-	listed, gone := map[string]int{}, map[string]int{}
+	listed, removed := map[string]int{}, map[string]int{}
 	for _, s := range c.servers {
 		if !s.Gone {
-			count(listed, &s.Backend)
+			countModels(listed, &s.Backend)
 		}
 	}
 	for _, v := range c.vanished {
-		count(gone, &v.backend)
+		countModels(removed, &v.backend)
 	}
 	var list []table.Backend
 	for _, name := range slices.Sorted(maps.Keys(c.vanished)) {
 		b := c.vanished[name].backend
-		if slices.ContainsFunc(b.Models, func(m string) bool { return gone[m] >= max(leastVanished, listed[m]) }) {
-			// Nothing fresh is known of it.
+		if slices.ContainsFunc(b.Models, func(m string) bool { return removed[m] >= max(minVanished, listed[m]) }) {
+			// Its remaining warm-up is unknown: assume all of it.
 			b.WarmupLeft = c.warmupTime(&b)
 			list = append(list, b)
 		}
@@ -71,8 +70,8 @@
 	return list
 }
 
-func count(by map[string]int, b *table.Backend) {
+func countModels(counts map[string]int, b *table.Backend) {
 	for _, m := range b.Models {
-		by[m]++
+		counts[m]++
 	}
 }
--- a/pkg/catalog/zone.go
+++ b/pkg/catalog/zone.go
@@ -10,30 +10,30 @@
 
 // Zone is the operators' mark of an availability zone.
 type Zone struct {
-	// Revision is the mark's last change; it only grows.
+	// Revision is the revision of the mark's last change.
 	Revision uint64
 	Name     string
-	// Closed says that its backend servers are to get nothing new.
+	// Closed says that the zone's backend servers get no new requests.
 	Closed bool
 }
 
-// zone is a mark as it was heard.
+// zone is a mark as stored.
 type zone struct {
 	Zone
-	// opened is when this catalog heard that a closed zone was opened, 0 if never.
+	// opened is when this catalog learned that the closed zone was opened, 0 if never.
 	opened time.Duration
 }
 
-// mergeZone takes a mark in unless a newer one is known, or it is not above a number up to which
-// everything is, so that an older closing cannot overtake an opening.
-func (c *Catalog) mergeZone(now time.Duration, z Zone, settled uint64) bool {
+// mergeZone applies a mark and reports whether the view changes. It ignores marks up to the
+// revision number completeTo, and those of which it knows the same or a later change.
+func (c *Catalog) mergeZone(now time.Duration, z Zone, completeTo uint64) bool {
 	old := c.zones[z.Name]
-	if old.Revision >= z.Revision || z.Revision <= settled {
+	if old.Revision >= z.Revision || z.Revision <= completeTo {
 		return false
 	}
 	c.highest = max(c.highest, z.Revision)
 	if z.Closed {
-		c.history.note(z.Revision, z.digest())
+		c.history.add(z.Revision, z.digest())
 	}
 	wasClosed := c.isClosed(z.Name)
 	delete(c.retainedZones, z.Name)
@@ -45,26 +45,26 @@
 	return wasClosed != z.Closed
 }
 
-// openUnlisted opens the zones that were closed after the revision since which the news are
-// complete, and which they do not list.
-func (c *Catalog) openUnlisted(now time.Duration, n *Update) bool {
-	listed := make(map[string]bool, len(n.Zones))
-	for _, z := range n.Zones {
+// openUnlisted opens the zones that were closed in the range that the update covers but which
+// it does not list.
+func (c *Catalog) openUnlisted(now time.Duration, u *Update) bool {
+	listed := make(map[string]bool, len(u.Zones))
+	for _, z := range u.Zones {
 		listed[z.Name] = true
 	}
-	for _, x := range n.Skipped {
+	for _, x := range u.Skipped {
 		listed[x.Zone] = true
 	}
 	changed := false
 	for _, name := range slices.Sorted(maps.Keys(c.zones)) {
-		if z := c.zones[name]; z.Closed && !listed[name] && z.Revision > n.After && z.Revision < n.AsOf {
-			changed = c.mergeZone(now, Zone{Revision: n.AsOf, Name: name}, 0) || changed
+		if z := c.zones[name]; z.Closed && !listed[name] && z.Revision > u.After && z.Revision < u.AsOf {
+			changed = c.mergeZone(now, Zone{Revision: u.AsOf, Name: name}, 0) || changed
 		}
 	}
 	return changed
 }
 
-// zoneRows returns the closed zones as rows of the table.
+// zoneRows returns the table's zone rows and those of the closed zones.
 func (c *Catalog) zoneRows() []table.ZoneRow {
 	rows := slices.Clone(c.table.Zones)
 	names := slices.AppendSeq(slices.Collect(maps.Keys(c.zones)), maps.Keys(c.retainedZones))
@@ -77,7 +77,7 @@
 	return rows
 }
 
-// zonesSince returns the marks that changed after a revision, all closed zones for 0.
+// zonesSince returns the marks that changed after a revision number, all closed zones for 0.
 func (c *Catalog) zonesSince(after uint64) []Zone {
 	var list []Zone
 	for _, name := range slices.Sorted(maps.Keys(c.zones)) {
