--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -204,7 +204,7 @@
 }
 
 // TestSinceDroppedTombstone guards against an incremental update that lacks a removal because its
-// tombstone was dropped: the receiver would keep the entry for ever.
+// tombstone was dropped: the receiver would keep the entry forever.
 func TestSinceDroppedTombstone(t *testing.T) {
 	start := catalog.Update{AsOf: 5, Table: tableAt(1), Servers: []catalog.Server{server("a", 2), server("b", 3)}}
 	sender, receiver := catalog.New(), catalog.New()
--- a/pkg/catalog/epoch_test.go
+++ b/pkg/catalog/epoch_test.go
@@ -50,7 +50,7 @@
 )
 
 // TestRestore guards against going back to old state when the platform restarts from a backup that
-// lacks recent changes, and against keeping lost state for ever.
+// lacks recent changes, and against keeping lost state forever.
 func TestRestore(t *testing.T) {
 	type servers = []catalog.Server
 	// The backup is as of revision 5: edition 10 at 1, a at 2, b at 3, c at 4, z closed at 5.
--- a/pkg/roster/report.go
+++ b/pkg/roster/report.go
@@ -8,173 +8,172 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// vouching is what a relay last said of who lives.
-type vouching struct {
-	// digest is the relay's own of what it said.
+// relayReport is what a relay last reported about who is alive.
+type relayReport struct {
+	// digest is the relay's digest of the report.
 	digest uint64
-	// at is when it last stood by it.
-	at    time.Duration
-	lives map[string]bool
-	// all says that lives are all who live by its word, not only those that it
-	// hears itself.
-	all bool
+	// confirmedAt is when the relay last sent or confirmed the report.
+	confirmedAt time.Duration
+	alive       map[string]bool
+	// includesIndirect says that alive contains all members that the relay reports alive, not
+	// only those from which it receives messages itself.
+	includesIndirect bool
 }
 
-// MemberInfo is a router as another one tells of it.
+// MemberInfo is what a report says about one router.
 type MemberInfo struct {
 	Member
-	// LastSeenAgo is how long ago anyone last heard of it.
+	// LastSeenAgo is how long ago any router last heard from it.
 	LastSeenAgo time.Duration
-	// Alive says that the teller believes that it lives, Direct that it hears
-	// it itself.
+	// Alive says that the sender counts it as alive, Direct that the sender receives messages
+	// from it.
 	Alive, Direct bool
 	Leaving       bool
 }
 
-// Report is what another router tells of whom it knows.
+// Report is what a router tells another one about the members that it knows.
 type Report struct {
-	// Digest is the sender's own of whom it believes to live.
+	// Digest is the sender's digest of the members that it counts as alive.
 	Digest uint64
-	// Base is the digest of the report that this one changes, 0 if it is whole.
+	// Base is the digest of the report that this one changes, 0 for a full report.
 	Base    uint64
 	Members []MemberInfo
 }
 
-// ApplyReport takes in whom another router knows. Those that a relay says to live
-// are believed to. A relay itself believes only in those that other relays
-// hear themselves, or two of them could vouch for a lost one by each other's
-// word for ever. It returns false if the report changes another one that is not
-// known here, so that a whole one is needed.
+// ApplyReport applies another router's report. Members that a relay reports alive count as
+// alive. A relay itself accepts only those with which other relays are in direct contact:
+// otherwise two relays could keep a lost router alive through each other's reports.
+// ApplyReport returns false if the report changes one that is not known here. The caller then
+// needs a full report.
 func (r *Roster) ApplyReport(now time.Duration, from string, report Report) bool {
-	relay, all := r.isRelay(now, from), r.believesAll(now, from)
-	defer func() { r.relaysKnown = nil }()
-	lives := map[string]bool{}
-	before, ok := r.vouched[from]
-	fits := report.Base == 0 || ok && before.digest == report.Base && before.all == all
-	if report.Base != 0 && fits {
-		lives = before.lives
+	isRelay, indirect := r.isRelay(now, from), r.acceptsIndirect(now, from)
+	defer func() { r.relayCache = nil }()
+	alive := map[string]bool{}
+	prev, ok := r.reports[from]
+	applies := report.Base == 0 || ok && prev.digest == report.Base && prev.includesIndirect == indirect
+	if report.Base != 0 && applies {
+		alive = prev.alive
 	}
-	for _, k := range report.Members {
-		if k.Address == r.self.Address {
-			r.noteFormer(k.Inc)
+	for _, info := range report.Members {
+		if info.Address == r.self.Address {
+			r.noteIncarnation(info.Inc)
 			continue
 		}
-		if k.LastSeenAgo >= ForgetAfter {
+		if info.LastSeenAgo >= ForgetAfter {
 			continue
 		}
-		m := r.learnOf(now, k)
-		delete(lives, k.Address)
-		if k.Inc == m.Inc && k.Alive && relay && (all || k.Direct) {
-			lives[k.Address] = true
-			m.leaving = m.leaving || k.Leaving
+		m := r.mergeMember(now, info)
+		delete(alive, info.Address)
+		if info.Inc == m.Inc && info.Alive && isRelay && (indirect || info.Direct) {
+			alive[info.Address] = true
+			m.leaving = m.leaving || info.Leaving
 		}
 	}
 	switch {
-	case !relay:
-		delete(r.vouched, from)
-	case fits:
-		r.vouched[from] = &vouching{digest: report.Digest, at: now, lives: lives, all: all}
+	case !isRelay:
+		delete(r.reports, from)
+	case applies:
+		r.reports[from] = &relayReport{digest: report.Digest, confirmedAt: now, alive: alive, includesIndirect: indirect}
 	}
-	return fits || !relay
+	return applies || !isRelay
 }
 
-// noteFormer notes which start of this router another one knows of.
-func (r *Roster) noteFormer(inc uint64) {
+// noteIncarnation records which incarnation of this router another one knows.
+func (r *Roster) noteIncarnation(inc uint64) {
 	if inc > r.self.Inc {
-		r.former = max(r.former, inc)
+		r.higherInc = max(r.higherInc, inc)
 	}
 }
 
-// believesAll reports whether this router believes all that another one says to
-// live: a relay of its zone, which serves it.
-func (r *Roster) believesAll(now time.Duration, from string) bool {
+// acceptsIndirect reports whether this router accepts everything that another one reports
+// alive: the other one is a relay of its zone, and this router is not.
+func (r *Roster) acceptsIndirect(now time.Duration, from string) bool {
 	m, ok := r.Get(from)
 	return ok && m.Zone == r.self.Zone && r.isRelay(now, from) && !r.isRelay(now, r.self.Address)
 }
 
-// learnOf notes what another router knows of one.
-func (r *Roster) learnOf(now time.Duration, k MemberInfo) *member {
-	m := r.get(now, k.Address)
-	m.known = max(m.known, now-k.LastSeenAgo)
-	if k.Inc > m.Inc {
-		m.leaving, m.unanswered = false, 0
+// mergeMember applies what another router reports about a member.
+func (r *Roster) mergeMember(now time.Duration, info MemberInfo) *member {
+	m := r.getOrAdd(now, info.Address)
+	m.lastSeen = max(m.lastSeen, now-info.LastSeenAgo)
+	if info.Inc > m.Inc {
+		m.leaving, m.unansweredSince = false, 0
 	}
-	if k.Inc >= m.Inc && (m.heard == 0 || k.Inc > m.Inc) {
-		m.Member = k.Member
+	if info.Inc >= m.Inc && (m.lastReceived == 0 || info.Inc > m.Inc) {
+		m.Member = info.Member
 	}
-	if k.Inc == m.Inc && k.Capacity > 0 {
-		m.Capacity = k.Capacity
+	if info.Inc == m.Inc && info.Capacity > 0 {
+		m.Capacity = info.Capacity
 	}
 	return m
 }
 
-// ConfirmReport notes that a relay stands by what it said with a digest. It returns
-// false if that is not what is known here, or was heard as a relay's equal and not
-// as one that it serves or the other way round, so that a whole report is needed.
+// ConfirmReport records that a relay confirms its report with the given digest. It returns
+// false if a full report is needed: the report is unknown here, or one of the two routers has
+// become or ceased to be a relay since it was applied.
 func (r *Roster) ConfirmReport(now time.Duration, relay string, digest uint64) bool {
-	v, ok := r.vouched[relay]
+	report, ok := r.reports[relay]
 	if !ok {
 		return !r.isRelay(now, relay)
 	}
-	if v.digest == digest {
-		v.at = now
+	if report.digest == digest {
+		report.confirmedAt = now
 	}
-	return v.digest == digest && v.all == r.believesAll(now, relay)
+	return report.digest == digest && report.includesIndirect == r.acceptsIndirect(now, relay)
 }
 
-// unvouch forgets that relays said that a router lives.
-func (r *Roster) unvouch(address string) {
-	for _, v := range r.vouched {
-		delete(v.lives, address)
+// removeFromReports removes a router from all reports of who is alive.
+func (r *Roster) removeFromReports(address string) {
+	for _, report := range r.reports {
+		delete(report.alive, address)
 	}
 }
 
-// Members returns the routers that were heard of lately, with this one. Of other
-// zones only the relays count as heard here: that another router asked this one
-// for a place comes and goes, and its own relays vouch for it.
+// Members returns this router and those heard from within ForgetAfter. In other zones, only
+// relays can be Direct: contact with other routers there comes and goes with their requests
+// for slots, and their own relays report them.
 func (r *Roster) Members(now time.Duration) []MemberInfo {
 	list := []MemberInfo{{Member: r.self, Alive: true, Direct: true}}
 	relays := r.relays(now)
 	for _, address := range slices.Sorted(maps.Keys(r.members)) {
 		m := r.members[address]
-		if m.Inc == 0 || now-m.known >= ForgetAfter {
+		if m.Inc == 0 || now-m.lastSeen >= ForgetAfter {
 			continue
 		}
-		k := MemberInfo{Member: m.Member, LastSeenAgo: now - m.known, Alive: r.lives(now, m), Leaving: m.leaving}
-		k.Direct = r.hears(now, m) && (m.Zone == r.self.Zone || slices.Contains(relays[m.Zone], address))
-		if k.Alive {
-			k.LastSeenAgo = 0
+		info := MemberInfo{Member: m.Member, LastSeenAgo: now - m.lastSeen, Alive: r.isAlive(now, m), Leaving: m.leaving}
+		info.Direct = r.isDirect(now, m) && (m.Zone == r.self.Zone || slices.Contains(relays[m.Zone], address))
+		if info.Alive {
+			info.LastSeenAgo = 0
 		}
-		list = append(list, k)
+		list = append(list, info)
 	}
 	return list
 }
 
-// Digest is a hash of whom this router believes to live, to tell whether
-// others know of it.
+// Digest returns the digest of the members that this router counts as alive.
 func (r *Roster) Digest(now time.Duration) uint64 {
 	return DigestOf(r.Members(now))
 }
 
-// DigestOf is the digest of a list of all routers.
+// DigestOf returns the digest of a list of all members.
 func DigestOf(list []MemberInfo) uint64 {
 	digest := uint64(0)
-	for _, k := range list {
-		if k.Alive {
-			// The order does not matter, so that the sum will do.
-			digest += k.Digest()
+	for _, info := range list {
+		if info.Alive {
+			// A sum does not depend on the order.
+			digest += info.Digest()
 		}
 	}
 	return digest
 }
 
-// Digest is a hash of what is told of one router but for how long ago it was heard.
-func (k *MemberInfo) Digest() uint64 {
+// Digest returns a hash of everything but Name, Zone, Capacity and LastSeenAgo.
+func (info *MemberInfo) Digest() uint64 {
 	var d xxhash.Digest
-	d.ResetWithSeed(k.Inc)
-	_, _ = d.WriteString(k.Address)
+	d.ResetWithSeed(info.Inc)
+	_, _ = d.WriteString(info.Address)
 	var flags [3]byte
-	for i, flag := range []bool{k.Alive, k.Direct, k.Leaving} {
+	for i, flag := range []bool{info.Alive, info.Direct, info.Leaving} {
 		if flag {
 			flags[i] = 1
 		}
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -1,12 +1,12 @@
-// Package roster keeps the routers of a fleet that publishes no list of them.
-// A router begins with a few seeds, which may be stale or down, learns the
-// others by hearsay, and believes that one lives while it hears from it or
-// while a relay vouches for it.
+// Package roster tracks the routers of a fleet that has no published list of members. A router
+// starts from seed addresses, some of which may be stale, and learns of other routers from
+// their reports. It counts a router as alive while it receives messages from it, or while a
+// relay reports it alive.
 //
-// In a small fleet every router talks with every other. In a larger one, each
-// zone has a few relays: its routers talk with these, and relays talk with the
-// relays of other zones. Who is a relay is computed by each router alone from
-// those it believes to live. The package is a pure state machine.
+// In a small fleet, all routers exchange messages with each other. In a larger one, each zone
+// has relays: the routers of a zone exchange messages with their relays, and relays with those
+// of other zones. Every router computes the relays from the members that it counts as alive.
+// The package is a state machine that does no I/O.
 package roster
 
 import (
@@ -16,57 +16,56 @@
 	"time"
 )
 
-// The times after which a router is believed something else.
+// Timeouts and intervals.
 const (
-	// SilenceTimeout is when a router that is not heard counts as lost, if
-	// routers tell each other more often than three times in it.
+	// SilenceTimeout is how long a router may be silent before it counts as lost. It is longer
+	// if the message interval requires it.
 	SilenceTimeout = 500 * time.Millisecond
-	// ProbeInterval is how often a router that is not heard is tried.
+	// ProbeInterval is the time between probes of a silent router.
 	ProbeInterval = time.Second
-	// StartupProbeInterval is the same within StartupPeriod of this router's own start: then all
-	// may have been lost at once, and those that are tried come back a moment
-	// after this one. A router that hears of no others takes itself for the
-	// owner of every backend server.
+	// StartupProbeInterval replaces ProbeInterval for StartupPeriod after this router's start.
+	// If the whole fleet restarts, the routers must find each other quickly: a router that
+	// knows of no others owns every backend server.
 	StartupProbeInterval = 250 * time.Millisecond
 	StartupPeriod        = 10 * time.Second
-	// SeedProbeInterval is how often a seed is tried that this router need not hear.
+	// SeedProbeInterval is the time between probes of a seed that this router need not hear
+	// from.
 	SeedProbeInterval = 15 * time.Second
-	// ForgetAfter is when a router that nobody heard is forgotten, unless it
-	// is a seed.
+	// ForgetAfter is how long after its last sign of life a router is forgotten, unless it is
+	// a seed.
 	ForgetAfter = 30 * time.Second
 )
 
 const (
-	// triesEach bounds how many routers are tried at once.
-	triesEach = 8
-	// quickest and slowest are the interval at which routers tell each other;
-	// it grows by perMember with those that a relay tells, so that what a
-	// relay sends in a second does not.
-	quickest  = 100 * time.Millisecond
-	slowest   = time.Second
-	perMember = 10 * time.Millisecond
-	// silentIntervals is how many intervals may pass unheard.
-	silentIntervals = 3
-	// hearsayFor is how long a router that others lately heard of is expected to
-	// live before it was tried, answerWithin how long it may take to answer a try:
-	// the way there and back between regions, twice.
-	hearsayFor   = time.Second
-	answerWithin = 400 * time.Millisecond
+	// maxProbes bounds the routers probed at once.
+	maxProbes = 8
+	// minInterval and maxInterval bound the interval between messages. It grows by
+	// intervalPerMember for each recipient of a relay, which bounds a relay's message rate.
+	minInterval       = 100 * time.Millisecond
+	maxInterval       = time.Second
+	intervalPerMember = 10 * time.Millisecond
+	// maxMissedIntervals is the number of intervals without a message after which a router is
+	// silent.
+	maxMissedIntervals = 3
+	// expectTTL is how long a router that others recently heard from is expected to be alive
+	// without a probe. probeTimeout is how long a probe may remain unanswered.
+	expectTTL    = time.Second
+	probeTimeout = 400 * time.Millisecond
 )
 
 // Member is a router.
 type Member struct {
-	// Address is where it listens for peers; it identifies the router.
+	// Address is where the router listens for peers. It identifies the router.
 	Address string
 	Name    string
 	Zone    string
-	// Inc is its start, 0 if not known.
+	// Inc is its incarnation number, 0 if unknown.
 	Inc uint64
-	// Capacity is its share of processors, above 0 where it is known.
+	// Capacity is its share of processors, 0 if unknown.
 	Capacity float64
 }
 
-// capacity returns the capacity to choose by.
+// capacity returns the weight for the choice of relays.
 func (m *Member) capacity() float64 {
 	if m.Capacity <= 0 {
 		return 1
@@ -74,55 +73,55 @@
 	return m.Capacity
 }
 
-// member is a router as this one knows it.
+// member is what this router knows about another one.
 type member struct {
 	Member
-	// heard is when a message of it last came here; 0 if none did.
-	heard time.Duration
-	// known is when anyone last heard of it, as far as told here.
-	known time.Duration
-	// tried is when it was last tried without being heard, unanswered since
-	// when it has been; 0 if it was heard since.
-	tried, unanswered time.Duration
+	// lastReceived is when its last message arrived here, 0 if none did.
+	lastReceived time.Duration
+	// lastSeen is when any router last heard from it, as far as known here.
+	lastSeen time.Duration
+	// probedAt is when it was last probed. unansweredSince is when the first probe since its
+	// last message was sent, 0 if there was none.
+	probedAt, unansweredSince time.Duration
 
 	leaving bool
-	// ended says that nobody listens at its address any more.
-	ended bool
-	seed  bool
+	// down says that nothing listens at its address any more.
+	down bool
+	seed bool
 }
 
-// Roster is the state of one router's view of the fleet.
+// Roster is one router's view of the fleet.
 type Roster struct {
 	self    Member
 	members map[string]*member
-	// vouched is what relays said, by relay.
-	vouched map[string]*vouching
-	// interval is the one in force.
+	// reports are the latest reports of relays, by address.
+	reports map[string]*relayReport
+	// interval is the current message interval.
 	interval time.Duration
-	// former is the latest start at this router's address that others know of, if that is
-	// not before this one.
-	former uint64
-	// started is when this router first looked whom to try, 0 before.
-	started time.Duration
-	// pause is the last time during which this router stood still.
+	// higherInc is the highest incarnation of this router that others know of, if it is above
+	// the current one, else 0.
+	higherInc uint64
+	// startedAt is when this router first chose routers to probe, 0 before.
+	startedAt time.Duration
+	// pause is the last time during which this process was paused.
 	pause pause
-	// relaysKnown are the relays as of relaysAt, nil once something else is known.
-	relaysKnown map[string][]string
-	relaysAt    time.Duration
+	// relayCache holds the relays by zone, computed at relayCacheAt. It is nil after a change.
+	relayCache   map[string][]string
+	relayCacheAt time.Duration
 }
 
-// New returns the view of a router that knows its seeds only.
+// New returns a roster that knows only its seeds.
 func New(self Member, seeds []string) *Roster {
-	r := &Roster{self: self, members: map[string]*member{}, vouched: map[string]*vouching{}, interval: quickest}
+	r := &Roster{self: self, members: map[string]*member{}, reports: map[string]*relayReport{}, interval: minInterval}
 	for _, address := range seeds {
 		if address != self.Address {
-			r.members[address] = &member{Member: Member{Address: address}, tried: -ProbeInterval, seed: true}
+			r.members[address] = &member{Member: Member{Address: address}, probedAt: -ProbeInterval, seed: true}
 		}
 	}
 	return r
 }
 
-// SetSeeds replaces the addresses of the routers to begin with.
+// SetSeeds replaces the seed addresses.
 func (r *Roster) SetSeeds(addresses []string) {
 	for _, m := range r.members {
 		m.seed = false
@@ -132,118 +131,116 @@
 			continue
 		}
 		if _, ok := r.members[address]; !ok {
-			r.members[address] = &member{Member: Member{Address: address}, tried: -ProbeInterval}
+			r.members[address] = &member{Member: Member{Address: address}, probedAt: -ProbeInterval}
 		}
 		r.members[address].seed = true
 	}
 }
 
-// Observe notes that a message of a router came. It reports whether the router
-// was not believed to live before, or has started anew. One that a relay vouches
-// for is no news: routers that only ask each other for places need not tell each
-// other whom they know.
+// Observe records a message from a router. It reports whether the router was not counted as
+// alive before, or has restarted. A router that a relay reports alive is not new, so a router
+// that merely requests slots from this one does not trigger an exchange of reports.
 func (r *Roster) Observe(now time.Duration, from Member) bool {
 	if from.Address == r.self.Address {
 		return false
 	}
-	m := r.get(now, from.Address)
+	m := r.getOrAdd(now, from.Address)
 	if from.Inc < m.Inc {
 		return false
 	}
-	r.relaysKnown = nil
-	news := !r.lives(now, m) || from.Inc > m.Inc
+	r.relayCache = nil
+	isNew := !r.isAlive(now, m) || from.Inc > m.Inc
 	if from.Inc > m.Inc {
 		m.leaving = false
-		r.unvouch(from.Address)
+		r.removeFromReports(from.Address)
 	}
 	if from.Capacity == 0 {
 		from.Capacity = m.Capacity
 	}
 	m.Member = from
-	m.heard, m.known, m.unanswered = now, now, 0
-	m.ended = false
-	return news
+	m.lastReceived, m.lastSeen, m.unansweredSince = now, now, 0
+	m.down = false
+	return isNew
 }
 
-// RaiseIncarnation gives this router a later incarnation than that of a former start at its address,
-// which others know of, and returns it: a time of day that was set back gives a start a
-// number that others take for a former one. It returns 0 if there is none to succeed.
+// RaiseIncarnation gives this router an incarnation above those that others know for its
+// address, and returns it. It returns 0 if the current one is already above. Incarnations come
+// from the wall clock, which may have been set back since an earlier start.
 func (r *Roster) RaiseIncarnation() uint64 {
-	if r.former == 0 {
+	if r.higherInc == 0 {
 		return 0
 	}
-	r.self.Inc, r.former = r.former+1, 0
+	r.self.Inc, r.higherInc = r.higherInc+1, 0
 	return r.self.Inc
 }
 
-func (r *Roster) get(now time.Duration, address string) *member {
+func (r *Roster) getOrAdd(now time.Duration, address string) *member {
 	m, ok := r.members[address]
 	if !ok {
-		m = &member{Member: Member{Address: address}, tried: -ProbeInterval, known: now}
+		m = &member{Member: Member{Address: address}, probedAt: -ProbeInterval, lastSeen: now}
 		r.members[address] = m
 	}
 	return m
 }
 
-// MarkLeaving notes that a router is about to stop.
+// MarkLeaving records that a router is about to stop.
 func (r *Roster) MarkLeaving(from string) {
 	if m, ok := r.members[from]; ok {
 		m.leaving = true
-		r.relaysKnown = nil
+		r.relayCache = nil
 	}
 }
 
-// MarkDown notes that nobody listens at a router's address any more.
+// MarkDown records that nothing listens at a router's address any more.
 func (r *Roster) MarkDown(address string) {
 	if m, ok := r.members[address]; ok {
-		m.heard = 0
-		m.ended = true
-		r.relaysKnown = nil
-		r.unvouch(address)
-		delete(r.vouched, address)
+		m.lastReceived = 0
+		m.down = true
+		r.relayCache = nil
+		r.removeFromReports(address)
+		delete(r.reports, address)
 	}
 }
 
-// silentAfter is when a router that is not heard counts as lost.
-func (r *Roster) silentAfter() time.Duration {
-	return max(SilenceTimeout, silentIntervals*r.interval)
+// silenceTimeout returns how long a router may be silent before it counts as lost.
+func (r *Roster) silenceTimeout() time.Duration {
+	return max(SilenceTimeout, maxMissedIntervals*r.interval)
 }
 
-// hears reports whether messages of the router come here.
-func (r *Roster) hears(now time.Duration, m *member) bool {
-	return m.heard > 0 && !r.isSilent(now, m.heard)
+// isDirect reports whether this router receives messages from m.
+func (r *Roster) isDirect(now time.Duration, m *member) bool {
+	return m.lastReceived > 0 && !r.isSilent(now, m.lastReceived)
 }
 
-// lives reports whether the router is heard here, or by a relay that is.
-func (r *Roster) lives(now time.Duration, m *member) bool {
-	if r.hears(now, m) {
+// isAlive reports whether this router receives messages from m, or from a relay that reports m
+// alive.
+func (r *Roster) isAlive(now time.Duration, m *member) bool {
+	if r.isDirect(now, m) {
 		return true
 	}
-	for _, v := range r.vouched {
-		if v.lives[m.Address] && !r.isSilent(now, v.at) {
+	for _, report := range r.reports {
+		if report.alive[m.Address] && !r.isSilent(now, report.confirmedAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// expected reports whether a router that is not heard can be taken to live until
-// it has been tried: others lately heard of it. So a router that starts among
-// many chooses its relays by what the first one tells it, in place of talking
-// with each that it learns of.
-func (r *Roster) expected(now time.Duration, m *member) bool {
-	return m.Inc > 0 && !m.leaving && now-m.known < hearsayFor && (m.unanswered == 0 || now-m.unanswered < answerWithin)
+// isExpected reports whether a silent router can be assumed alive until it is probed, because
+// others recently heard from it. A router that joins a large fleet thus chooses its relays
+// from the first report, instead of exchanging messages with every router it learns of.
+func (r *Roster) isExpected(now time.Duration, m *member) bool {
+	return m.Inc > 0 && !m.leaving && now-m.lastSeen < expectTTL && (m.unansweredSince == 0 || now-m.unansweredSince < probeTimeout)
 }
 
-// Live returns the addresses of the routers that live, without this one.
+// Live returns the addresses of the other routers that are alive.
 func (r *Roster) Live(now time.Duration) []string {
-	return r.filter(func(m *member) bool { return r.lives(now, m) })
+	return r.filter(func(m *member) bool { return r.isAlive(now, m) })
 }
 
-// Active returns the routers that live and are not about to stop, without
-// this one.
+// Active returns the addresses of the other routers that are alive and not leaving.
 func (r *Roster) Active(now time.Duration) []string {
-	return r.filter(func(m *member) bool { return r.lives(now, m) && !m.leaving })
+	return r.filter(func(m *member) bool { return r.isAlive(now, m) && !m.leaving })
 }
 
 func (r *Roster) filter(keep func(*member) bool) []string {
@@ -257,97 +254,96 @@
 	return list
 }
 
-// NextProbes returns the addresses of routers that are not heard and are to be
-// tried now, and notes that they are: of those that should be heard, those
-// that were tried longest ago.
-func (r *Roster) NextProbes(now time.Duration, t Plan) []string {
-	every := r.tryEvery(now)
+// NextProbes returns the addresses of the silent routers to probe now, those probed longest
+// ago first, and records the probes.
+func (r *Roster) NextProbes(now time.Duration, p Plan) []string {
+	interval := r.probeInterval(now)
 	list := r.filter(func(m *member) bool {
-		switch since := now - m.tried; {
-		case r.hears(now, m) || since < every:
+		switch since := now - m.probedAt; {
+		case r.isDirect(now, m) || since < interval:
 			return false
-		case r.shouldHear(now, m, t):
+		case r.shouldReceive(now, m, p):
 			return true
 		default:
 			return m.seed && since >= SeedProbeInterval
 		}
 	})
 	slices.SortStableFunc(list, func(a, b string) int {
-		return cmp.Compare(r.members[a].tried, r.members[b].tried)
+		return cmp.Compare(r.members[a].probedAt, r.members[b].probedAt)
 	})
-	list = list[:min(triesEach, len(list))]
-	r.relaysKnown = nil
+	list = list[:min(maxProbes, len(list))]
+	r.relayCache = nil
 	for _, address := range list {
 		m := r.members[address]
-		m.tried = now
-		if m.unanswered == 0 {
-			m.unanswered = now
+		m.probedAt = now
+		if m.unansweredSince == 0 {
+			m.unansweredSince = now
 		}
 	}
 	return list
 }
 
-// tryEvery returns how often a router that is not heard is tried now.
-func (r *Roster) tryEvery(now time.Duration) time.Duration {
-	if r.started == 0 {
-		r.started = now
+// probeInterval returns the current time between probes of a silent router.
+func (r *Roster) probeInterval(now time.Duration) time.Duration {
+	if r.startedAt == 0 {
+		r.startedAt = now
 	}
-	if now-r.started < StartupPeriod {
+	if now-r.startedAt < StartupPeriod {
 		return StartupProbeInterval
 	}
 	return ProbeInterval
 }
 
-// shouldHear reports whether this router would hear another one if it lived.
-func (r *Roster) shouldHear(now time.Duration, m *member, t Plan) bool {
+// shouldReceive reports whether this router would receive messages from m if m were alive.
+func (r *Roster) shouldReceive(now time.Duration, m *member, p Plan) bool {
 	switch {
-	case t.Mesh, slices.Contains(t.Peers, m.Address), slices.Contains(t.RemoteRelays, m.Address):
+	case p.Mesh, slices.Contains(p.Peers, m.Address), slices.Contains(p.RemoteRelays, m.Address):
 		return true
-	case !t.Relay:
+	case !p.Relay:
 		return false
 	default:
-		// Of other zones one that lives is heard by its relays; if none of
-		// these is, any may be the way back.
-		return m.Zone == r.self.Zone || !r.lives(now, m)
+		// The relays of another zone receive messages from its members. If this router knows
+		// of no relay that does, any member of the zone may restore the connection.
+		return m.Zone == r.self.Zone || !r.isAlive(now, m)
 	}
 }
 
-// Forget drops routers that nobody has heard of for long.
+// Forget drops the routers that nobody has heard from for ForgetAfter.
 func (r *Roster) Forget(now time.Duration) {
-	r.relaysKnown = nil
+	r.relayCache = nil
 	if now < r.pause.to+pauseGrace {
 		return
 	}
 	maps.DeleteFunc(r.members, func(_ string, m *member) bool {
-		return !m.seed && now-m.known >= ForgetAfter
+		return !m.seed && now-m.lastSeen >= ForgetAfter
 	})
 }
 
-// CountRecent returns how many routers were heard of within a time, with this one.
+// CountRecent returns how many routers, including this one, were heard from within a time.
 func (r *Roster) CountRecent(now, within time.Duration) int {
 	n := 1
 	for _, m := range r.members {
-		if m.Inc > 0 && now-m.known < within {
+		if m.Inc > 0 && now-m.lastSeen < within {
 			n++
 		}
 	}
 	return n
 }
 
-// KnownByZone returns how many routers are known in each zone, with this one: those
-// that live, and those that fell silent and are not forgotten. Routers that said that
-// they stop, or at whose address nobody listens, do not count: they are not cut off.
+// KnownByZone returns how many routers are known in each zone, including this one. It counts
+// silent routers that are not yet forgotten, since they may be cut off, but none that are
+// leaving or down.
 func (r *Roster) KnownByZone() map[string]int {
 	known := map[string]int{r.self.Zone: 1}
 	for _, m := range r.members {
-		if m.Inc > 0 && !m.leaving && !m.ended {
+		if m.Inc > 0 && !m.leaving && !m.down {
 			known[m.Zone]++
 		}
 	}
 	return known
 }
 
-// Get returns what is known of a router.
+// Get returns what is known about a router.
 func (r *Roster) Get(address string) (Member, bool) {
 	if address == r.self.Address {
 		return r.self, true
@@ -359,28 +355,28 @@
 	return m.Member, true
 }
 
-// pauseGrace is how long a router that stood still takes, with a margin, to read what came
-// meanwhile: eight routers that start hear of each other within 10 ms.
+// pauseGrace is the time that a router needs after a pause to read the messages that arrived
+// meanwhile.
 const pauseGrace = 150 * time.Millisecond
 
-// pause is a time during which this router stood still.
+// pause is a time during which this process was paused.
 type pause struct{ from, to time.Duration }
 
-// RecordPause takes in that this router stood still for a time: it could hear nobody, which says
-// nothing of the others until it has read what came meanwhile. It would else take itself for
-// the only router, and for the owner of every backend server.
+// RecordPause records that this process was paused. Until it has read the messages that
+// arrived meanwhile, silence does not show that other routers are lost. Otherwise it would
+// take itself for the only router and for the owner of every backend server.
 func (r *Roster) RecordPause(from, to time.Duration) {
-	r.relaysKnown = nil
+	r.relayCache = nil
 	r.pause = pause{from, to}
 }
 
-// excuses reports whether a silence since at is no sign yet: it had not lasted for long when
-// this router stood still, and what came meanwhile may not have been read.
-func (r *Roster) excuses(now, at time.Duration) bool {
-	return now < r.pause.to+pauseGrace && r.pause.from-at < r.silentAfter()
+// isExcused reports whether a silence since the time at may be due to the last pause: it was
+// short when the pause began, and messages from the pause may still be unread.
+func (r *Roster) isExcused(now, at time.Duration) bool {
+	return now < r.pause.to+pauseGrace && r.pause.from-at < r.silenceTimeout()
 }
 
-// isSilent reports whether nothing came since at for too long.
+// isSilent reports whether a silence since the time at exceeds the timeout and is not excused.
 func (r *Roster) isSilent(now, at time.Duration) bool {
-	return now-at >= r.silentAfter() && !r.excuses(now, at)
+	return now-at >= r.silenceTimeout() && !r.isExcused(now, at)
 }
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -17,17 +17,18 @@
 	c    = roster.Member{Address: "10.0.0.3:7", Name: "c", Zone: "y", Inc: 5}
 )
 
-// view is what a roster says at a time.
+// view is a roster's state at a time.
 type view struct {
-	Live, Tries []string
-	Lately      int
+	Live, Probes []string
+	Recent       int
 }
 
-// known tells of a router that someone heard a while ago.
+// known is a report of one router that was last seen a while ago.
 func known(m roster.Member, ago time.Duration) []roster.MemberInfo {
 	return []roster.MemberInfo{{Member: m, LastSeenAgo: ago}}
 }
 
+// TestRoster guards against wrong conclusions from messages, silence, pauses and reports.
 func TestRoster(t *testing.T) {
 	const second = time.Second
 	tests := map[string]struct {
@@ -36,48 +37,48 @@
 		at    time.Duration
 		want  view
 	}{
-		"seeds are tried, oneself is not": {
+		"seeds are probed, this router is not": {
 			seeds: []string{self.Address, b.Address}, do: func(*roster.Roster) {},
-			want: view{Tries: []string{b.Address}, Lately: 1}},
-		"a seed that is down is tried again": {
+			want: view{Probes: []string{b.Address}, Recent: 1}},
+		"seed that is down is probed again": {
 			seeds: []string{b.Address}, do: func(r *roster.Roster) { r.NextProbes(0, r.Plan(0)) }, at: 40 * second,
-			want: view{Tries: []string{b.Address}, Lately: 1}},
-		"heard": {
+			want: view{Probes: []string{b.Address}, Recent: 1}},
+		"message received": {
 			do: func(r *roster.Roster) { r.Observe(second, b) }, at: second + second/4,
-			want: view{Live: []string{b.Address}, Lately: 2}},
+			want: view{Live: []string{b.Address}, Recent: 2}},
 		"silent": {
 			do: func(r *roster.Roster) { r.Observe(second, b) }, at: 2 * second,
-			want: view{Tries: []string{b.Address}, Lately: 2}},
-		"silent, while this router stood still": {
+			want: view{Probes: []string{b.Address}, Recent: 2}},
+		"silent during a pause": {
 			do: func(r *roster.Roster) { r.Observe(second, b); r.RecordPause(second, 7*second) }, at: 7*second + second/10,
-			want: view{Live: []string{b.Address}, Lately: 2}},
-		"silent after that, too": {
+			want: view{Live: []string{b.Address}, Recent: 2}},
+		"silent after a pause": {
 			do: func(r *roster.Roster) { r.Observe(second, b); r.RecordPause(second, 7*second) }, at: 7*second + second/5,
-			want: view{Tries: []string{b.Address}, Lately: 2}},
-		"silent before, and this router stood still again": {
+			want: view{Probes: []string{b.Address}, Recent: 2}},
+		"silent before a second pause": {
 			do: func(r *roster.Roster) {
 				r.Observe(second, b)
 				r.RecordPause(second, 2*second)
 				r.RecordPause(2*second, 3*second)
 			}, at: 3 * second,
-			want: view{Tries: []string{b.Address}, Lately: 2}},
-		"a minute of standing still is not forgetting": {
+			want: view{Probes: []string{b.Address}, Recent: 2}},
+		"not forgotten after a pause of a minute": {
 			do: func(r *roster.Roster) { r.Observe(second, b); r.RecordPause(second, 61*second); r.Forget(61 * second) }, at: 61 * second,
-			want: view{Live: []string{b.Address}, Lately: 1}},
-		"hearsay is tried and counts, but does not live": {
+			want: view{Live: []string{b.Address}, Recent: 1}},
+		"reported router is probed, not alive": {
 			do: func(r *roster.Roster) {
 				r.ApplyReport(second, b.Address, roster.Report{Digest: 1, Members: known(c, 0)})
 			}, at: second,
-			want: view{Tries: []string{c.Address}, Lately: 2}},
-		"old hearsay counts for nothing": {
+			want: view{Probes: []string{c.Address}, Recent: 2}},
+		"old report is ignored": {
 			do: func(r *roster.Roster) {
 				r.ApplyReport(40*second, b.Address, roster.Report{Digest: 1, Members: known(c, 39*second)})
 			}, at: 40 * second,
-			want: view{Lately: 1}},
-		"gone": {
+			want: view{Recent: 1}},
+		"down": {
 			do: func(r *roster.Roster) { r.Observe(second, b); r.MarkDown(b.Address) }, at: second,
-			want: view{Tries: []string{b.Address}, Lately: 2}},
-		"a message of an earlier start is no sign of life": {
+			want: view{Probes: []string{b.Address}, Recent: 2}},
+		"message of an earlier incarnation is ignored": {
 			do: func(r *roster.Roster) {
 				r.Observe(second, b)
 				r.MarkDown(b.Address)
@@ -85,16 +86,16 @@
 				old.Inc = 4
 				r.Observe(second, old)
 			}, at: second,
-			want: view{Tries: []string{b.Address}, Lately: 2}},
-		"long unheard is forgotten": {
+			want: view{Probes: []string{b.Address}, Recent: 2}},
+		"forgotten after long silence": {
 			do: func(r *roster.Roster) { r.Observe(second, b); r.Forget(40 * second) }, at: 40 * second,
-			want: view{Lately: 1}},
+			want: view{Recent: 1}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := roster.New(self, tc.seeds)
 			tc.do(r)
-			got := view{Live: r.Live(tc.at), Tries: r.NextProbes(tc.at, r.Plan(tc.at)), Lately: r.CountRecent(tc.at, 20*second)}
+			got := view{Live: r.Live(tc.at), Probes: r.NextProbes(tc.at, r.Plan(tc.at)), Recent: r.CountRecent(tc.at, 20*second)}
 			if diff := cmp.Diff(tc.want, got); diff != "" {
 				t.Errorf("roster (-want +got):\n%s", diff)
 			}
@@ -102,38 +103,38 @@
 	}
 }
 
-func TestLeavingUntilStartedAnew(t *testing.T) {
+// TestLeavingUntilRestart guards against counting a restarted router as leaving.
+func TestLeavingUntilRestart(t *testing.T) {
 	r := roster.New(self, nil)
 	r.Observe(1, b)
 	r.MarkLeaving(b.Address)
 	if got := r.Active(2); len(got) != 0 {
-		t.Errorf("%v stay", got)
+		t.Errorf("active routers %v, want none", got)
 	}
-	next := b
-	next.Inc = 6
-	if !r.Observe(3, next) || len(r.Active(3)) != 1 {
-		t.Error("a router that started anew is not news")
+	restarted := b
+	restarted.Inc = 6
+	if !r.Observe(3, restarted) || len(r.Active(3)) != 1 {
+		t.Error("a restarted router is not reported as new")
 	}
 }
 
-// TestTriesMoreOftenAfterTheStart counts how often a router that is not heard is
-// tried: all may have been lost at once, and it may be back any moment.
-func TestTriesMoreOftenAfterTheStart(t *testing.T) {
+// TestStartupProbes guards against slow discovery when the whole fleet restarts, and against probing
+// at that rate forever.
+func TestStartupProbes(t *testing.T) {
 	r := roster.New(self, []string{b.Address})
-	tries := map[bool]int{}
+	probes := map[bool]int{}
 	for now := time.Hour; now < time.Hour+2*roster.StartupPeriod; now += 50 * time.Millisecond {
-		tries[now < time.Hour+roster.StartupPeriod] += len(r.NextProbes(now, r.Plan(now)))
+		probes[now < time.Hour+roster.StartupPeriod] += len(r.NextProbes(now, r.Plan(now)))
 	}
 	want := map[bool]int{true: int(roster.StartupPeriod / roster.StartupProbeInterval), false: int(roster.StartupPeriod / roster.ProbeInterval)}
-	if diff := cmp.Diff(want, tries); diff != "" {
-		t.Errorf("tries within the first %v and after (-want +got):\n%s", roster.StartupPeriod, diff)
+	if diff := cmp.Diff(want, probes); diff != "" {
+		t.Errorf("probes within the first %v and after (-want +got):\n%s", roster.StartupPeriod, diff)
 	}
 }
 
-// relayed returns the roster of a router that lives in a fleet with relays: the
-// zone's others, and those of the other zone, among them relays that vouch for
-// all of them.
-func relayed(t *testing.T, now time.Duration) (r *roster.Roster, relay string, all []roster.MemberInfo) {
+// newRelayedRoster returns the roster of a router that is not a relay, in a fleet of two zones, with
+// the primary relay of its zone and what that relay would report.
+func newRelayedRoster(t *testing.T, now time.Duration) (r *roster.Roster, relay string, all []roster.MemberInfo) {
 	t.Helper()
 	r = roster.New(self, nil)
 	for i := range 10 {
@@ -151,11 +152,11 @@
 	return r, relay, all
 }
 
-// TestVouchedForIsNoNews looks that a router which is heard by chance, since it
-// asks this one for a place, is not told of the whole fleet each time.
-func TestVouchedForIsNoNews(t *testing.T) {
+// TestReportedAliveIsNotNew guards against an exchange of reports with every router that sends this
+// one a request for a slot.
+func TestReportedAliveIsNotNew(t *testing.T) {
 	const start, later = time.Hour, time.Hour + 10*time.Second
-	r, relay, all := relayed(t, start)
+	r, relay, all := newRelayedRoster(t, start)
 	var relayMember roster.Member
 	for _, k := range all {
 		if k.Address == relay {
@@ -165,24 +166,24 @@
 	r.Observe(later, relayMember)
 	r.ApplyReport(later, relay, roster.Report{Digest: 1, Members: all})
 	for _, k := range all {
-		if news := r.Observe(later, k.Member); news {
-			t.Errorf("%s is news, though the relay vouches for it", k.Address)
+		if isNew := r.Observe(later, k.Member); isNew {
+			t.Errorf("%s is new, although the relay reports it alive", k.Address)
 		}
 	}
-	anew := all[0].Member
-	anew.Inc++
-	if !r.Observe(later, anew) {
-		t.Error("a router that started anew is not news")
+	restarted := all[0].Member
+	restarted.Inc++
+	if !r.Observe(later, restarted) {
+		t.Error("a restarted router is not reported as new")
 	}
 }
 
-// TestDigestIsSteadyWhileRoutersAsk looks that the digest, at whose change relays
-// tell all others, does not change with who of another zone asked for a place.
-func TestDigestIsSteadyWhileRoutersAsk(t *testing.T) {
+// TestDigestIgnoresRemoteContacts guards against needless reports: relays send them when the digest
+// changes, and contact with routers of other zones comes and goes.
+func TestDigestIgnoresRemoteContacts(t *testing.T) {
 	const start, later = time.Hour, time.Hour + time.Second/4
-	r, _, all := relayed(t, start)
+	r, _, all := newRelayedRoster(t, start)
 	first := r.PrimaryRelay(start, "y")
-	vouch := func(now time.Duration) {
+	report := func(now time.Duration) {
 		for _, k := range all {
 			if k.Zone == self.Zone || k.Address == first {
 				r.Observe(now, k.Member)
@@ -191,7 +192,7 @@
 		r.ApplyReport(now, first, roster.Report{Digest: 1, Members: all})
 	}
 	silent := start + 2*roster.SilenceTimeout
-	vouch(silent)
+	report(silent)
 	before := r.Digest(silent)
 	for _, k := range all {
 		if k.Zone == "y" && k.Address != first && r.PrimaryRelay(later, "y") != k.Address {
@@ -200,60 +201,60 @@
 		}
 	}
 	if after := r.Digest(silent); after != before {
-		t.Error("the digest changed when a router of another zone was heard")
+		t.Error("the digest changed after a message from a router of another zone")
 	}
 }
 
-// TestChangesOfReports gives a router reports that change others.
-func TestChangesOfReports(t *testing.T) {
+// TestIncrementalReports guards against applying a change to a report that the change is not based
+// on.
+func TestIncrementalReports(t *testing.T) {
 	const now = time.Hour
 	tests := map[string]struct {
-		base uint64
-		fits bool
-		// lives says that the router of which the change tells counts as live.
-		lives bool
+		base    uint64
+		applies bool
+		// alive says whether the router that the change reports as lost counts as alive.
+		alive bool
 	}{
-		"of the last report": {base: 1, fits: true, lives: false},
-		"of an unknown one":  {base: 7, fits: false, lives: true},
+		"based on the last report":   {base: 1, applies: true, alive: false},
+		"based on an unknown report": {base: 7, applies: false, alive: true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			r, relay, all := relayed(t, now-10*time.Second)
+			r, relay, all := newRelayedRoster(t, now-10*time.Second)
 			for _, k := range all {
 				if k.Address == relay {
 					r.Observe(now, k.Member)
 				}
 			}
-			// By the first report it learns who the relays are, by the second who lives.
+			// The first report shows which routers are relays, the second which are alive.
 			for range 2 {
 				if !r.ApplyReport(now, relay, roster.Report{Digest: 1, Members: all}) {
-					t.Error("a whole report does not do")
+					t.Error("a full report was not accepted")
 				}
 			}
-			var gone roster.MemberInfo
+			var lost roster.MemberInfo
 			for _, k := range all {
 				if k.Address != relay {
-					gone = k
+					lost = k
 				}
 			}
-			gone.Alive, gone.Direct = false, false
-			if got := r.ApplyReport(now, relay, roster.Report{Digest: 2, Base: tc.base, Members: []roster.MemberInfo{gone}}); got != tc.fits {
-				t.Errorf("the change fits: %v", got)
+			lost.Alive, lost.Direct = false, false
+			if got := r.ApplyReport(now, relay, roster.Report{Digest: 2, Base: tc.base, Members: []roster.MemberInfo{lost}}); got != tc.applies {
+				t.Errorf("the change was applied: %v", got)
 			}
-			if got := slices.Contains(r.Live(now), gone.Address); got != tc.lives {
-				t.Errorf("%s lives: %v", gone.Address, got)
+			if got := slices.Contains(r.Live(now), lost.Address); got != tc.alive {
+				t.Errorf("%s counts as alive: %v", lost.Address, got)
 			}
-			if got := r.ConfirmReport(now, relay, 2); got != tc.fits {
-				t.Errorf("the relay stands by what is known here: %v", got)
+			if got := r.ConfirmReport(now, relay, 2); got != tc.applies {
+				t.Errorf("the relay confirmed the known report: %v", got)
 			}
 		})
 	}
 }
 
-// TestWhoCeasesToBeARelayNeedsAll has a relay hear another one of its zone, of which
-// it believes only what that one hears itself; then others come that are relays in
-// its place.
-func TestWhoCeasesToBeARelayNeedsAll(t *testing.T) {
+// TestFormerRelayNeedsFullReport guards against a router that loses its role as a relay and keeps a
+// report of which it applied only the members in direct contact with the sender.
+func TestFormerRelayNeedsFullReport(t *testing.T) {
 	const now = time.Hour
 	strong := self
 	strong.Capacity = 1000
@@ -267,7 +268,7 @@
 		}
 	}
 	if r.PrimaryRelay(now, "x") != strong.Address {
-		t.Fatal("the router under test is no relay")
+		t.Fatal("the router under test is not the primary relay")
 	}
 	other := ""
 	for _, k := range all {
@@ -279,23 +280,23 @@
 		t.Fatal("the zone has no other relay")
 	}
 	if !r.ConfirmReport(now, other, 1) {
-		t.Fatal("what was heard as a relay's equal is not known")
+		t.Fatal("a report applied as a relay is not known")
 	}
 	for i := range 2 {
 		r.Observe(now, roster.Member{Address: fmt.Sprintf("10.0.z.%d:7", i), Zone: "x", Inc: 5, Capacity: 1e6})
 	}
-	keeps := roster.Member{Address: other, Zone: "x", Inc: 5, Capacity: 1e9}
-	r.Observe(now, keeps)
+	remaining := roster.Member{Address: other, Zone: "x", Inc: 5, Capacity: 1e9}
+	r.Observe(now, remaining)
 	if r.ConfirmReport(now, other, 1) {
-		t.Error("what was heard as a relay's equal does for a router that the relay serves")
+		t.Error("a report applied as a relay is still accepted by a router that is none")
 	}
 	if !r.ApplyReport(now, other, roster.Report{Digest: 1, Members: all}) || !r.ConfirmReport(now, other, 1) {
-		t.Error("a whole report does not do")
+		t.Error("a full report was not accepted")
 	}
 }
 
-// TestKnownByZone counts the routers of which a zone is known to have some: one that fell
-// silent may be cut off and counts, one that stops or has ended does not.
+// TestKnownByZone guards against not counting silent routers, which may be cut off, and against
+// counting those that are leaving or down.
 func TestKnownByZone(t *testing.T) {
 	const second = time.Second
 	tests := map[string]struct {
@@ -303,16 +304,16 @@
 		want map[string]int
 	}{
 		"alone":             {func(*roster.Roster) {}, map[string]int{"x": 1}},
-		"heard":             {func(r *roster.Roster) { r.Observe(second, b); r.Observe(second, c) }, map[string]int{"x": 2, "y": 1}},
-		"silent since long": {func(r *roster.Roster) { r.Observe(second, c); r.Forget(20 * second) }, map[string]int{"x": 1, "y": 1}},
+		"messages received": {func(r *roster.Roster) { r.Observe(second, b); r.Observe(second, c) }, map[string]int{"x": 2, "y": 1}},
+		"silent for long":   {func(r *roster.Roster) { r.Observe(second, c); r.Forget(20 * second) }, map[string]int{"x": 1, "y": 1}},
 		"forgotten":         {func(r *roster.Roster) { r.Observe(second, c); r.Forget(40 * second) }, map[string]int{"x": 1}},
-		"told of": {func(r *roster.Roster) {
+		"reported": {func(r *roster.Roster) {
 			r.ApplyReport(second, b.Address, roster.Report{Digest: 1, Members: known(c, 0)})
 		}, map[string]int{"x": 1, "y": 1}},
-		"stops":    {func(r *roster.Roster) { r.Observe(second, c); r.MarkLeaving(c.Address) }, map[string]int{"x": 1}},
-		"ended":    {func(r *roster.Roster) { r.Observe(second, c); r.MarkDown(c.Address) }, map[string]int{"x": 1}},
-		"is back":  {func(r *roster.Roster) { r.Observe(second, c); r.MarkDown(c.Address); r.Observe(2*second, c) }, map[string]int{"x": 1, "y": 1}},
-		"only try": {func(r *roster.Roster) { r.NextProbes(0, r.Plan(0)) }, map[string]int{"x": 1}},
+		"leaving":     {func(r *roster.Roster) { r.Observe(second, c); r.MarkLeaving(c.Address) }, map[string]int{"x": 1}},
+		"down":        {func(r *roster.Roster) { r.Observe(second, c); r.MarkDown(c.Address) }, map[string]int{"x": 1}},
+		"up again":    {func(r *roster.Roster) { r.Observe(second, c); r.MarkDown(c.Address); r.Observe(2*second, c) }, map[string]int{"x": 1, "y": 1}},
+		"only probed": {func(r *roster.Roster) { r.NextProbes(0, r.Plan(0)) }, map[string]int{"x": 1}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
