--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -27,8 +27,8 @@
 	Last uint64
 	// Unusable says why the entry cannot be used as a backend server.
 	Unusable Unusable
-	// Backend is the entry's content. If the entry is gone or unusable, only the name is
-	// valid.
+	// Backend is the entry's content. In an update, only its name is valid if the entry is
+	// gone or unusable.
 	Backend table.Backend
 }
 
@@ -219,9 +219,9 @@
 	return true
 }
 
-// rebuildCostPerServer is the minimum interval between two builds of the view, per backend
+// rebuildIntervalPerServer is the minimum interval between two builds of the view, per backend
 // server. It limits the processor time that a large directory with frequent changes takes.
-const rebuildCostPerServer = 30 * time.Microsecond
+const rebuildIntervalPerServer = 30 * time.Microsecond
 
 // maxImmediateRebuild is the number of entries up to which every change rebuilds the view at
 // once.
@@ -232,7 +232,7 @@
 	if c.table == nil {
 		return false
 	}
-	return c.view == nil || len(c.servers) <= maxImmediateRebuild || now-c.builtAt >= rebuildCostPerServer*time.Duration(len(c.servers))
+	return c.view == nil || len(c.servers) <= maxImmediateRebuild || now-c.builtAt >= rebuildIntervalPerServer*time.Duration(len(c.servers))
 }
 
 // mergeServer applies an entry and reports whether the view changes. It ignores entries up to
--- a/pkg/catalog/retained.go
+++ b/pkg/catalog/retained.go
@@ -118,11 +118,11 @@
 	return changed
 }
 
-// mayOverride reports whether an item with the given override applies here, where the item
-// listed has the revision number listed, 0 for none, and the one already retained comes from
-// retainedOrigin.
-func mayOverride(listed uint64, retainedOrigin Revision, x Override) bool {
-	return listed == x.Over && retainedOrigin.Before(x.Origin) && x.Left > 0
+// mayOverride reports whether an item with the given override applies here. listedNumber is
+// the revision number of the published item, 0 if there is none, and retainedOrigin the
+// revision of the item retained so far.
+func mayOverride(listedNumber uint64, retainedOrigin Revision, x Override) bool {
+	return listedNumber == x.Over && retainedOrigin.Before(x.Origin) && x.Left > 0
 }
 
 // expireRetained drops what has expired and reports whether the view changes.
@@ -160,10 +160,10 @@
 // MarkVerified records that the catalog was current at the given time.
 func (c *Catalog) MarkVerified(at time.Duration) { c.verifiedAt = max(c.verifiedAt, at) }
 
-// hasExpired reports whether the time until has passed and the catalog has been verified
-// since. A router that is cut off from the platform thus keeps what it retains.
-func (c *Catalog) hasExpired(now, until time.Duration) bool {
-	return now >= until && c.verifiedAt >= until
+// hasExpired reports whether the deadline has passed and the catalog has been verified since.
+// A router that is cut off from the platform thus keeps what it retains.
+func (c *Catalog) hasExpired(now, deadline time.Duration) bool {
+	return now >= deadline && c.verifiedAt >= deadline
 }
 
 // current returns the entry in force, which is the retained one if there is one.
--- a/pkg/catalog/since.go
+++ b/pkg/catalog/since.go
@@ -48,13 +48,13 @@
 // maxJumps bounds the jumps kept. Requests for changes after an older one get a full update.
 const maxJumps = 16
 
-// noteFull records that a full update as of the number to was received.
-func (c *Catalog) noteFull(to uint64) {
+// noteFull records that a full update as of a revision number was received.
+func (c *Catalog) noteFull(number uint64) {
 	if c.asOf.Number == 0 {
-		c.historyFrom, c.jumps = to, nil
+		c.historyFrom, c.jumps = number, nil
 		return
 	}
-	c.addJump(Jump{From: c.asOf.Number, To: to})
+	c.addJump(Jump{From: c.asOf.Number, To: number})
 }
 
 // addJump records a jump made here or by the router that sent an update.
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -370,13 +370,13 @@
 	r.pause = pause{from, to}
 }
 
-// isExcused reports whether a silence since the time at may be due to the last pause: it was
-// short when the pause began, and messages from the pause may still be unread.
-func (r *Roster) isExcused(now, at time.Duration) bool {
-	return now < r.pause.to+pauseGrace && r.pause.from-at < r.silenceTimeout()
+// isExcused reports whether a silence may be due to the last pause: it was short when the
+// pause began, and messages from the pause may still be unread.
+func (r *Roster) isExcused(now, since time.Duration) bool {
+	return now < r.pause.to+pauseGrace && r.pause.from-since < r.silenceTimeout()
 }
 
-// isSilent reports whether a silence since the time at exceeds the timeout and is not excused.
-func (r *Roster) isSilent(now, at time.Duration) bool {
-	return now-at >= r.silenceTimeout() && !r.isExcused(now, at)
+// isSilent reports whether a silence exceeds the timeout and is not excused.
+func (r *Roster) isSilent(now, since time.Duration) bool {
+	return now-since >= r.silenceTimeout() && !r.isExcused(now, since)
 }
--- a/pkg/suspect/suspect.go
+++ b/pkg/suspect/suspect.go
@@ -202,8 +202,8 @@
 // HasCrash reports whether any crash of the server is recorded.
 func (t *Tracker) HasCrash(server Server) bool { return t.crashesAt[server] > 0 }
 
-// MarkAlive removes the crashes recorded for a server from the time from up to, but not
-// including, the time to, during which the server was alive.
+// MarkAlive removes the crashes recorded for a server at times in [from, to), during which it
+// was alive.
 func (t *Tracker) MarkAlive(server Server, from, to time.Duration) {
 	if !t.HasCrash(server) {
 		return
