--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -14,63 +14,63 @@
 }
 
 const (
-	// loadEvery is the interval at which the owner of a backend server reads its load.
-	loadEvery = time.Second
-	// ownedEvery is the interval at which is looked which backend servers are owned.
-	ownedEvery = 200 * time.Millisecond
+	// loadInterval is the interval of reading the load of an owned backend server.
+	loadInterval = time.Second
+	// ownedCheckInterval is the interval of checking which backend servers are owned.
+	ownedCheckInterval = 200 * time.Millisecond
 )
 
 // WithLoadReader makes the router poll the load of the backend servers that it owns.
-func WithLoadReader(l LoadReader) Option { return func(o *options) { o.loads = l } }
+func WithLoadReader(l LoadReader) Option { return func(o *options) { o.loadReader = l } }
 
-// followLoads starts and ends the readers, one for each backend server that is owned.
-func (s *state) followLoads() {
-	if s.d.opt.loads == nil || s.now-s.ownedAt < ownedEvery {
+// updateLoadReaders starts and stops readers so that each owned backend server has one.
+func (s *state) updateLoadReaders() {
+	if s.d.opt.loadReader == nil || s.now-s.ownedCheckedAt < ownedCheckInterval {
 		return
 	}
-	s.ownedAt = s.now
-	owned := make(map[string]bool, len(s.loads))
+	s.ownedCheckedAt = s.now
+	owned := make(map[string]bool, len(s.loadReaders))
 	for _, b := range s.core.OwnedBackends() {
 		owned[b.Name] = true
-		if _, ok := s.loads[b.Name]; !ok {
-			s.loads[b.Name] = s.d.readLoads(b)
+		if _, ok := s.loadReaders[b.Name]; !ok {
+			s.loadReaders[b.Name] = s.d.startLoadReader(b)
 		}
 	}
-	for name, end := range s.loads {
+	for name, stop := range s.loadReaders {
 		if !owned[name] {
-			end()
-			delete(s.loads, name)
+			stop()
+			delete(s.loadReaders, name)
 		}
 	}
 }
 
-// readLoads starts the task that reads a backend server's load.
-func (d *Dispatcher) readLoads(b table.Backend) (end context.CancelFunc) {
-	ctx, end := context.WithCancel(d.ctx)
+// startLoadReader starts a goroutine that polls a backend server's load.
+func (d *Dispatcher) startLoadReader(b table.Backend) (stop context.CancelFunc) {
+	ctx, stop := context.WithCancel(d.ctx)
 	d.tasks.Add(1)
 	go func() {
 		defer d.tasks.Done()
 		for ctx.Err() == nil {
-			n, err := d.opt.loads.Load(ctx, b)
+			n, err := d.opt.loadReader.Load(ctx, b)
 			if err != nil {
 				d.opt.log.Debug("load_unreadable", "backend", b.Name, "error", err)
 			} else {
-				d.post(loadRead{b.Name, n})
+				d.post(loadEvent{b.Name, n})
 			}
 			select {
-			case <-time.After(loadEvery):
+			case <-time.After(loadInterval):
 			case <-ctx.Done():
 			}
 		}
 	}()
-	return end
+	return stop
 }
 
-type loadRead struct {
+type loadEvent struct {
 	backend  string
 	inFlight int
 }
 
-func (e loadRead) apply(s *state) {
+func (e loadEvent) apply(s *state) {
 	s.step(admit.BackendLoad{Backend: e.backend, InFlight: e.inFlight})
 }
--- a/internal/dispatch/uses.go
+++ b/internal/dispatch/uses.go
@@ -8,41 +8,41 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// WithWeights has accounts served by the weights of the table and held to its limits, and
+// WithWeightedAccounts serves accounts by the weights of the table, enforces its limits and lets
 // requests wait until their deadlines.
-func WithWeights() Option {
+func WithWeightedAccounts() Option {
 	return func(o *options) {
-		o.weights = true
-		o.core = append(o.core, admit.WithWeightedAccounts())
+		o.weighted = true
+		o.coreOptions = append(o.coreOptions, admit.WithWeightedAccounts())
 	}
 }
 
-// tellUses tells a router what accounts have used, for a scope.
-func (s *state) tellUses(to string, t *admit.Snapshot, scope wire.Scope) {
-	if s.d.opt.weights && scope != wire.ScopeNone {
+// sendUsage sends a router the accounts' usage for a scope.
+func (s *state) sendUsage(to string, t *admit.Snapshot, scope wire.Scope) {
+	if s.d.opt.weighted && scope != wire.ScopeNone {
 		s.d.net.Send(to, &wire.Uses{Scope: scope, Accounts: t.Uses(scope, to)})
 	}
 }
 
-// hearUses takes in what another router tells of what accounts have used.
-func (s *state) hearUses(from peer.Inbound, m *wire.Uses) {
-	if s.accepts(from, m.Scope) {
+// handleUsage processes the accounts' usage sent by another router.
+func (s *state) handleUsage(from peer.Inbound, m *wire.Uses) {
+	if s.acceptsScope(from, m.Scope) {
 		s.step(admit.PeerUsage{From: from.From, Zone: from.Zone, Msg: m})
 	}
 }
 
-// noteProgress counts what requests that run have used so far.
-func (s *state) noteProgress() {
-	for id, served := range s.served {
-		s.step(admit.Progress{ID: id, Tokens: served.Load()})
+// reportProgress passes the token counts of running requests to the core.
+func (s *state) reportProgress() {
+	for id, tokens := range s.tokenCounts {
+		s.step(admit.Progress{ID: id, Tokens: tokens.Load()})
 	}
 }
 
-// countFor returns what counts the tokens of a request that starts.
-func (s *state) countFor(id uint64) *atomic.Int64 {
-	served := &atomic.Int64{}
-	if s.d.opt.weights {
-		s.served[id] = served
+// newTokenCounter returns the token counter of a request that starts.
+func (s *state) newTokenCounter(id uint64) *atomic.Int64 {
+	tokens := &atomic.Int64{}
+	if s.d.opt.weighted {
+		s.tokenCounts[id] = tokens
 	}
-	return served
+	return tokens
 }
