--- a/internal/dispatch/screen.go
+++ b/internal/dispatch/screen.go
@@ -26,7 +26,7 @@
 // goroutines, so that an overload by one account does not delay the event loop.
 type admission struct {
 	// fractions holds the fraction of an account's requests to admit.
-	fractions atomic.Pointer[map[wire.Key]float64]
+	fractions atomic.Pointer[map[wire.NameHash]float64]
 	mu        sync.Mutex
 	// plan is what this router has processor time for. budget is how many more requests of
 	// any account it admits.
@@ -35,7 +35,7 @@
 	// forwardBudget is how many more requests may be forwarded.
 	forwardBudget float64
 	// counters count by account since plannedAt, when plan was made.
-	counters  map[wire.Key]*accountCounter
+	counters  map[wire.NameHash]*accountCounter
 	plannedAt time.Duration
 	// refusedTotal counts refused requests since the start.
 	refusedTotal atomic.Int64
@@ -57,7 +57,7 @@
 }
 
 func newAdmission() admission {
-	return admission{plan: admit.AdmissionPlan{PerAccount: math.Inf(1)}, budget: math.MaxInt, counters: map[wire.Key]*accountCounter{}}
+	return admission{plan: admit.AdmissionPlan{PerAccount: math.Inf(1)}, budget: math.MaxInt, counters: map[wire.NameHash]*accountCounter{}}
 }
 
 // CheckAdmission implements front.Scheduler.
@@ -65,7 +65,7 @@
 	if r.Account == "" {
 		return nil
 	}
-	key := wire.KeyOf(r.Account)
+	key := wire.HashName(r.Account)
 	within := r.Forwarded || d.opt.random() < fractionOf(&d.admission.fractions, key)
 	if d.admission.tryAdmit(key, r, within) {
 		return nil
@@ -80,7 +80,7 @@
 }
 
 // fractionOf returns the fraction of an account's requests to admit.
-func fractionOf(fractions *atomic.Pointer[map[wire.Key]float64], key wire.Key) float64 {
+func fractionOf(fractions *atomic.Pointer[map[wire.NameHash]float64], key wire.NameHash) float64 {
 	m := fractions.Load()
 	if m == nil {
 		return 1
@@ -94,7 +94,7 @@
 // tryAdmit counts a request and reports whether it is admitted. Requests beyond the account's
 // share do not use up the router's budget. Otherwise the two limits would multiply, and an
 // account whose callers reach few small routers would get only a fraction of its share.
-func (adm *admission) tryAdmit(key wire.Key, r front.Request, within bool) bool {
+func (adm *admission) tryAdmit(key wire.NameHash, r front.Request, within bool) bool {
 	adm.mu.Lock()
 	defer adm.mu.Unlock()
 	t, ok := adm.counters[key]
@@ -122,7 +122,7 @@
 	adm := &d.admission
 	adm.mu.Lock()
 	defer adm.mu.Unlock()
-	t, ok := adm.counters[wire.KeyOf(r.Account)]
+	t, ok := adm.counters[wire.HashName(r.Account)]
 	if !ok || adm.forwardBudget < 1 {
 		return false
 	}
@@ -154,12 +154,12 @@
 
 // replan plans the router's processor time until the next plan, and returns the counters since
 // the last one.
-func (s *state) replan() map[wire.Key]*accountCounter {
+func (s *state) replan() map[wire.NameHash]*accountCounter {
 	adm := &s.d.admission
 	adm.mu.Lock()
 	defer adm.mu.Unlock()
 	counted, elapsed := adm.counters, s.now-adm.plannedAt
-	demand, refused := make(map[wire.Key]int, len(counted)), 0
+	demand, refused := make(map[wire.NameHash]int, len(counted)), 0
 	for key, t := range counted {
 		demand[key] = t.withinShare
 		refused += t.refused
@@ -167,7 +167,7 @@
 	adm.plan = s.estimator.Plan(elapsed, demand, refused, s.forwardPeers > 0)
 	adm.plannedAt, adm.budget = s.now, adm.plan.Burst
 	adm.forwardBudget = min(adm.forwardBudget, 1) + adm.plan.Forward*min(elapsed, maxPlanAge).Seconds()
-	adm.counters = make(map[wire.Key]*accountCounter, len(counted))
+	adm.counters = make(map[wire.NameHash]*accountCounter, len(counted))
 	for key, t := range counted {
 		if t.withinShare > 0 || t.budget < 1 {
 			adm.counters[key] = &accountCounter{budget: min(t.budget, 1) + adm.plan.PerAccount*min(elapsed, maxPlanAge).Seconds()}
@@ -193,20 +193,20 @@
 }
 
 // accountName returns the name of an account in the table, "" if it is not there.
-func (s *state) accountName(key wire.Key) string {
+func (s *state) accountName(key wire.NameHash) string {
 	t := s.d.Table()
 	if t == nil || key == 0 {
 		return ""
 	}
 	for i := range t.Accounts {
-		if wire.KeyOf(t.Accounts[i].Name) == key {
+		if wire.HashName(t.Accounts[i].Name) == key {
 			return t.Accounts[i].Name
 		}
 	}
 	return ""
 }
 
-func storeFractions(fractions *atomic.Pointer[map[wire.Key]float64], m map[wire.Key]float64) {
+func storeFractions(fractions *atomic.Pointer[map[wire.NameHash]float64], m map[wire.NameHash]float64) {
 	if len(m) == 0 {
 		fractions.Store(nil)
 		return
--- a/internal/dispatch/suspects_test.go
+++ b/internal/dispatch/suspects_test.go
@@ -41,9 +41,9 @@
 func (testTransport) Send(string, any)             {}
 func (testTransport) SetIncarnation(uint64)        {}
 func (w testTransport) Inbox() <-chan peer.Inbound { return w.in }
-func (testTransport) Losses() <-chan peer.Lost     { return nil }
+func (testTransport) Losses() <-chan peer.Loss     { return nil }
 func (w testTransport) receive(from string, msg any) {
-	w.in <- peer.Inbound{From: from, Name: from, Zone: "b", Inc: 1, Msg: msg}
+	w.in <- peer.Inbound{From: from, Name: from, Zone: "b", Incarnation: 1, Msg: msg}
 }
 
 // testTimeout bounds waits for events that must happen.
@@ -84,11 +84,11 @@
 	for d.Status().Waiting == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	var ends []wire.SuspectEnd
+	var ends []wire.SuspectCrash
 	for i := range 3 {
-		ends = append(ends, wire.SuspectEnd{Digest: digest, Server: wire.Key(100 + i), AgoMillis: int64(1000 * i)})
+		ends = append(ends, wire.SuspectCrash{Digest: digest, Server: wire.NameHash(100 + i), AgoMillis: int64(1000 * i)})
 	}
-	net.receive("r-1", &wire.Suspects{Ends: ends})
+	net.receive("r-1", &wire.SuspectUpdate{Crashes: ends})
 	d.Release(first, front.Usage{Sent: true, Status: 200})
 	select {
 	case err := <-blocked:
--- a/internal/forward/incoming.go
+++ b/internal/forward/incoming.go
@@ -38,12 +38,12 @@
 // accept starts serving a forwarded connection, or refuses it if the server has no capacity.
 func (f *Forwarder) accept(in peer.Inbound, m *wire.Forward, sender Sender, server Server) {
 	if !server.AcceptsForwarded(table.Version{Edition: m.Edition, Revision: m.Revision}) {
-		sender.Send(in.From, &wire.ForwardData{Stream: m.Stream, Answer: true, Number: 1, Refused: true, End: true})
+		sender.Send(in.From, &wire.ForwardData{Stream: m.Stream, Response: true, Seq: 1, Refused: true, Last: true})
 		return
 	}
 	local, remote := net.Pipe()
 	i := &incoming{
-		forwarder: f, sender: sender, key: streamKey{in.From, in.Inc, m.Stream}, pipe: local,
+		forwarder: f, sender: sender, key: streamKey{in.From, in.Incarnation, m.Stream}, pipe: local,
 		fromCaller: make(chan *wire.ForwardData, maxQueued), done: make(chan struct{}),
 		ackReceived: make(chan struct{}, 1),
 	}
@@ -57,8 +57,8 @@
 
 // receive queues a message from the caller or records an acknowledgement. It does not block.
 func (i *incoming) receive(m *wire.ForwardData) {
-	if m.Taken > 0 {
-		i.acked.Store(m.Taken)
+	if m.Acked > 0 {
+		i.acked.Store(m.Acked)
 		select {
 		case i.ackReceived <- struct{}{}:
 		default:
@@ -91,7 +91,7 @@
 	for seq := uint64(1); ; seq++ {
 		select {
 		case m := <-i.fromCaller:
-			if m.End || m.Number != seq {
+			if m.Last || m.Seq != seq {
 				i.close()
 				return
 			}
@@ -109,7 +109,7 @@
 	buf := make([]byte, chunkSize)
 	for seq := uint64(1); i.waitForWindow(seq); seq++ {
 		n, err := i.pipe.Read(buf)
-		m := &wire.ForwardData{Stream: i.key.id, Answer: true, Number: seq, Data: append([]byte(nil), buf[:n]...), End: err != nil}
+		m := &wire.ForwardData{Stream: i.key.id, Response: true, Seq: seq, Data: append([]byte(nil), buf[:n]...), Last: err != nil}
 		select {
 		case <-i.done:
 			// The caller or its router is gone, so nobody needs the rest.
--- a/internal/front/routed.go
+++ b/internal/front/routed.go
@@ -136,8 +136,8 @@
 	req.Prefix = state.prefix
 	req.Rank = state.Rank
 	req.Prompt, req.Shared, req.Output = state.tokens, state.shared, state.output
-	req.Target = state.Target
-	req.MaxWait = state.Target / maxWaitDivisor
+	req.Target = state.TargetLatency
+	req.MaxWait = state.TargetLatency / maxWaitDivisor
 	req.Avoid = state.avoid
 	req.MayHaveRun, req.Resuming = state.mayHaveRun, state.started
 }
@@ -195,7 +195,7 @@
 	}
 	req := in.schedulerRequest()
 	p := backend.Failover{
-		FirstByteTimeout: max(minStallTimeout, stallTargets*state.Target),
+		FirstByteTimeout: max(minStallTimeout, stallTargets*state.TargetLatency),
 		AcquireRetry: func() bool {
 			if !s.scheduler.SpendRetry(req) {
 				return false
@@ -205,7 +205,7 @@
 		},
 	}
 	if state.Repeat == table.RepeatResume {
-		p.EventTimeout = max(minStallTimeout, stallPauses*state.Pause)
+		p.EventTimeout = max(minStallTimeout, stallPauses*state.TargetGap)
 	}
 	return p
 }
@@ -241,8 +241,8 @@
 			return 0
 		}
 		delay := time.Duration(batchDelayFraction * float64(s.limits.Load().MaxEventDelay))
-		if state.Pause > 0 {
-			delay = min(delay, time.Duration(batchPauseFraction*float64(state.Pause)))
+		if state.TargetGap > 0 {
+			delay = min(delay, time.Duration(batchPauseFraction*float64(state.TargetGap)))
 		}
 		return delay
 	}
--- a/pkg/admit/admission.go
+++ b/pkg/admit/admission.go
@@ -53,7 +53,7 @@
 	if !svc.engine {
 		return float64(o.running) < float64(s.Slots)*queuedPerSlot
 	}
-	if a.Begun {
+	if a.MayHaveRun {
 		return o.running < s.Slots
 	}
 	fraction := c.targetFraction(a.Account)
@@ -66,7 +66,7 @@
 	if c.isStartingUp() {
 		return o.unread == 0
 	}
-	if o.unread == 0 && (!a.Spill || a.Fetch) && (fraction == 1 || o.running < s.Slots/2) {
+	if o.unread == 0 && (!a.Spill || a.CopyPrefix) && (fraction == 1 || o.running < s.Slots/2) {
 		// Waiting does not help here, and only a new request updates the latency estimate.
 		return true
 	}
--- a/pkg/admit/demand_test.go
+++ b/pkg/admit/demand_test.go
@@ -12,10 +12,10 @@
 // below its fair share, no requests of it may be refused.
 func TestDecliningDemandIsAdmitted(t *testing.T) {
 	const overload, reduced, fairShare = 15e6, 1e6, 2e6
-	key := wire.KeyOf("moka")
+	key := wire.HashName("moka")
 	c := admit.New(admit.Router{Address: "r", Zone: "a"})
-	others := &wire.State{Scope: wire.ScopeRest, Accounts: []wire.AccountFlow{
-		{Account: wire.KeyOf("best"), Asked: 5 * fairShare, Begun: fairShare}, {Account: key, Begun: fairShare},
+	others := &wire.RouterState{Scope: wire.ScopeRest, Accounts: []wire.AccountFlow{
+		{Account: wire.HashName("best"), Demand: 5 * fairShare, Started: fairShare}, {Account: key, Started: fairShare},
 	}}
 	const step = 50 * time.Millisecond
 	admitFraction := func(now time.Duration, perSecond float64) float64 {
--- a/pkg/admit/fetch_test.go
+++ b/pkg/admit/fetch_test.go
@@ -254,20 +254,20 @@
 // TestCopiesInSnapshot: a relay must report received copies once to each router, and to other
 // zones only those made in its own zone.
 func TestCopiesInSnapshot(t *testing.T) {
-	near := wire.Copy{Prefix: 1, Server: wire.KeyOf("near")}
-	far := wire.Copy{Prefix: 2, Server: wire.KeyOf("far")}
+	near := wire.PrefixCopy{Prefix: 1, Server: wire.HashName("near")}
+	far := wire.PrefixCopy{Prefix: 2, Server: wire.HashName("far")}
 	c := admit.New(admit.Router{Address: "a", Zone: "x"})
 	receive := func() {
-		c.Step(time.Second, admit.PeerState{From: "b", Zone: "x", Msg: &wire.State{Copies: []wire.Copy{near}}})
-		c.Step(time.Second, admit.PeerState{From: "c", Zone: "y", Msg: &wire.State{Copies: []wire.Copy{far}}})
+		c.Step(time.Second, admit.PeerState{From: "b", Zone: "x", Msg: &wire.RouterState{Copies: []wire.PrefixCopy{near}}})
+		c.Step(time.Second, admit.PeerState{From: "c", Zone: "y", Msg: &wire.RouterState{Copies: []wire.PrefixCopy{far}}})
 	}
 	tests := map[string]struct {
-		copies func(*admit.Snapshot) []wire.Copy
-		want   []wire.Copy
+		copies func(*admit.Snapshot) []wire.PrefixCopy
+		want   []wire.PrefixCopy
 	}{
 		"routers of the zone":         {(*admit.Snapshot).Copies, nil},
-		"other zones":                 {(*admit.Snapshot).ZoneCopies, []wire.Copy{near}},
-		"routers served by the relay": {(*admit.Snapshot).AllCopies, []wire.Copy{near, far}},
+		"other zones":                 {(*admit.Snapshot).ZoneCopies, []wire.PrefixCopy{near}},
+		"routers served by the relay": {(*admit.Snapshot).AllCopies, []wire.PrefixCopy{near, far}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/admit/isolation.go
+++ b/pkg/admit/isolation.go
@@ -117,20 +117,20 @@
 }
 
 // handleTrials applies the trials that another router reports as started, answered or ended.
-func (c *Core) handleTrials(from string, m *wire.Suspects) {
-	for _, d := range m.Begun[:min(maxPerMessage, len(m.Begun))] {
+func (c *Core) handleTrials(from string, m *wire.SuspectUpdate) {
+	for _, d := range m.Retrying[:min(maxPerMessage, len(m.Retrying))] {
 		if t, ok := c.trials[suspect.Digest(d)]; !ok || c.now >= t.expiresAt {
 			c.trials[suspect.Digest(d)] = trial{holder: from, expiresAt: c.now + exclusiveFor}
 			appendBounded(&c.relayUpdates.started, d)
 		}
 	}
-	for _, d := range m.Answers[:min(maxPerMessage, len(m.Answers))] {
+	for _, d := range m.Responding[:min(maxPerMessage, len(m.Responding))] {
 		if c.dropTrial(from, suspect.Digest(d)) {
 			c.answeredAt[suspect.Digest(d)] = c.now
 			appendBounded(&c.relayUpdates.answered, d)
 		}
 	}
-	for _, d := range m.Over[:min(maxPerMessage, len(m.Over))] {
+	for _, d := range m.Ended[:min(maxPerMessage, len(m.Ended))] {
 		if c.dropTrial(from, suspect.Digest(d)) {
 			appendBounded(&c.relayUpdates.ended, d)
 		}
--- a/pkg/admit/isolation_test.go
+++ b/pkg/admit/isolation_test.go
@@ -270,7 +270,7 @@
 			w := newWorld(1, 2, []string{"a"}, 3)
 			w.baseLatency = latency
 			for _, r := range w.order {
-				w.step(r, admit.Message{From: "other", Msg: &wire.Suspects{Ends: []wire.SuspectEnd{{Digest: 7, Server: 99}}}})
+				w.step(r, admit.Message{From: "other", Msg: &wire.SuspectUpdate{Crashes: []wire.SuspectCrash{{Digest: 7, Server: 99}}}})
 			}
 			first := w.submit(w.order[0], admit.Request{Prompt: 900, Digest: 7})
 			w.run(w.now + 5*time.Millisecond)
@@ -299,8 +299,8 @@
 	w := newWorld(1, 1, []string{"a"}, 1)
 	router := w.order[0]
 	w.baseLatency = 100 * time.Millisecond
-	crashes := []wire.SuspectEnd{{Digest: 7, Server: 98}, {Digest: 7, Server: 99}}
-	w.step(router, admit.Message{From: "other", Msg: &wire.Suspects{Ends: crashes}})
+	crashes := []wire.SuspectCrash{{Digest: 7, Server: 98}, {Digest: 7, Server: 99}}
+	w.step(router, admit.Message{From: "other", Msg: &wire.SuspectUpdate{Crashes: crashes}})
 	w.submit(router, admit.Request{Prompt: 900, Digest: 7})
 	w.run(w.now + 50*time.Millisecond)
 	other := w.submit(router, admit.Request{Prompt: 900, Digest: 8, MaxWait: time.Second})
@@ -319,18 +319,18 @@
 func TestInvalidSuspectsAreIgnored(t *testing.T) {
 	w := newWorld(1, 2, []string{"a"}, 1)
 	c := w.cores[w.order[0]]
-	var many []wire.SuspectEnd
+	var many []wire.SuspectCrash
 	for i := range 10_000 {
-		many = append(many, wire.SuspectEnd{Digest: uint64(1000 + i), Server: wire.KeyOf(fmt.Sprint(i))})
+		many = append(many, wire.SuspectCrash{Digest: uint64(1000 + i), Server: wire.HashName(fmt.Sprint(i))})
 	}
-	w.step(w.order[0], admit.Message{From: w.order[1], Msg: &wire.Suspects{Ends: []wire.SuspectEnd{
+	w.step(w.order[0], admit.Message{From: w.order[1], Msg: &wire.SuspectUpdate{Crashes: []wire.SuspectCrash{
 		{Digest: 0, Server: 1}, {Digest: 7, Server: 1, AgoMillis: -5}, {Digest: 7, Server: 2, AgoMillis: 1 << 62},
-		{Digest: 7, Server: 3, SentMillis: -1}, {Digest: 7, Server: 4, SentMillis: 1 << 62},
+		{Digest: 7, Server: 3, SentBeforeMillis: -1}, {Digest: 7, Server: 4, SentBeforeMillis: 1 << 62},
 	}}})
 	if n := c.SuspectCount(); n != 0 {
 		t.Errorf("%d requests have recorded crashes, want 0", n)
 	}
-	w.step(w.order[0], admit.Message{From: w.order[1], Msg: &wire.Suspects{Ends: many}})
+	w.step(w.order[0], admit.Message{From: w.order[1], Msg: &wire.SuspectUpdate{Crashes: many}})
 	if n := c.SuspectCount(); n > 256 {
 		t.Errorf("%d requests have recorded crashes after one message, want at most 256", n)
 	}
--- a/pkg/admit/peer.go
+++ b/pkg/admit/peer.go
@@ -19,7 +19,7 @@
 // usageReport is the last report of a source.
 type usageReport struct {
 	receivedAt time.Duration
-	flows      map[wire.Key]flow
+	flows      map[wire.NameHash]flow
 }
 
 // DefaultReportTTL is the age at which a report expires: its router has most likely failed or
@@ -55,7 +55,7 @@
 	From string
 	// Zone is the sender's zone.
 	Zone string
-	Msg  *wire.State
+	Msg  *wire.RouterState
 	// TTL is the age at which the report expires, 0 for DefaultReportTTL.
 	TTL time.Duration
 }
@@ -68,9 +68,9 @@
 	source := sourceOf(e.Msg.Scope, e.From, e.Zone)
 	c.reportTTL = max(DefaultReportTTL, e.TTL)
 	c.dropReport(source)
-	report := &usageReport{receivedAt: c.now, flows: make(map[wire.Key]flow, len(e.Msg.Accounts))}
+	report := &usageReport{receivedAt: c.now, flows: make(map[wire.NameHash]flow, len(e.Msg.Accounts))}
 	for _, f := range e.Msg.Accounts {
-		report.flows[f.Account] = flow{demand: float64(f.Asked), started: float64(f.Begun)}
+		report.flows[f.Account] = flow{demand: float64(f.Demand), started: float64(f.Started)}
 	}
 	c.reports[source] = report
 	c.accounts.addPeerFlows(report.flows, 1)
@@ -81,7 +81,7 @@
 const maxRelayedCopies = 256
 
 // applyCopies records the copies made by other routers, and queues them for relaying.
-func (c *Core) applyCopies(zone string, copies []wire.Copy) {
+func (c *Core) applyCopies(zone string, copies []wire.PrefixCopy) {
 	relayed := &c.remoteCopies
 	if zone == c.opt.self.Zone {
 		relayed = &c.zoneCopies
@@ -135,18 +135,18 @@
 type Snapshot struct {
 	now       time.Duration
 	core      *Core
-	own, zone map[wire.Key]flow
-	others    map[wire.Key]flow
+	own, zone map[wire.NameHash]flow
+	others    map[wire.NameHash]flow
 	// copies are those of this router since the last snapshot, zoneCopies those reported by
 	// routers of its zone, remoteCopies those of other zones.
-	copies, zoneCopies, remoteCopies []wire.Copy
+	copies, zoneCopies, remoteCopies []wire.PrefixCopy
 }
 
 // Snapshot collects the state to report, and clears the queued copies.
 func (c *Core) Snapshot(now time.Duration) *Snapshot {
 	s := &Snapshot{now: now, core: c, own: c.accounts.ownFlows(now), copies: c.newCopies, zoneCopies: c.zoneCopies, remoteCopies: c.remoteCopies}
 	c.newCopies, c.zoneCopies, c.remoteCopies = nil, nil, nil
-	s.zone, s.others = maps.Clone(s.own), map[wire.Key]flow{}
+	s.zone, s.others = maps.Clone(s.own), map[wire.NameHash]flow{}
 	for source, report := range c.reports {
 		switch {
 		case source.scope == wire.ScopeOwn:
@@ -159,7 +159,7 @@
 	return s
 }
 
-func addFlows(sum, flows map[wire.Key]flow, sign float64) {
+func addFlows(sum, flows map[wire.NameHash]flow, sign float64) {
 	for key, f := range flows {
 		s := sum[key]
 		s.demand += sign * f.demand
@@ -187,13 +187,13 @@
 }
 
 // Copies returns the copies made by this router.
-func (s *Snapshot) Copies() []wire.Copy { return s.copies }
+func (s *Snapshot) Copies() []wire.PrefixCopy { return s.copies }
 
 // ZoneCopies returns the copies made in this zone, for relays of other zones.
-func (s *Snapshot) ZoneCopies() []wire.Copy { return slices.Concat(s.copies, s.zoneCopies) }
+func (s *Snapshot) ZoneCopies() []wire.PrefixCopy { return slices.Concat(s.copies, s.zoneCopies) }
 
 // AllCopies returns the copies made by all routers, for routers of this zone.
-func (s *Snapshot) AllCopies() []wire.Copy {
+func (s *Snapshot) AllCopies() []wire.PrefixCopy {
 	return slices.Concat(s.copies, s.zoneCopies, s.remoteCopies)
 }
 
@@ -201,7 +201,7 @@
 const maxFlows = 64
 
 // largestFlows returns the largest flows and the sum of the others.
-func largestFlows(flows map[wire.Key]flow) []wire.AccountFlow {
+func largestFlows(flows map[wire.NameHash]flow) []wire.AccountFlow {
 	list := make([]wire.AccountFlow, 0, len(flows))
 	var rest flow
 	for key, f := range flows {
@@ -210,19 +210,19 @@
 			rest.demand += f.demand
 			rest.started += f.started
 		case f.demand >= 1 || f.started >= 1:
-			list = append(list, wire.AccountFlow{Account: key, Asked: rounded(f.demand), Begun: rounded(f.started)})
+			list = append(list, wire.AccountFlow{Account: key, Demand: rounded(f.demand), Started: rounded(f.started)})
 		}
 	}
 	slices.SortFunc(list, func(a, b wire.AccountFlow) int {
-		return cmp.Or(cmp.Compare(b.Asked, a.Asked), cmp.Compare(a.Account, b.Account))
+		return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.Account, b.Account))
 	})
 	for _, f := range list[min(maxFlows, len(list)):] {
-		rest.demand += float64(f.Asked)
-		rest.started += float64(f.Begun)
+		rest.demand += float64(f.Demand)
+		rest.started += float64(f.Started)
 	}
 	list = list[:min(maxFlows, len(list))]
 	if rest.demand >= 1 {
-		list = append(list, wire.AccountFlow{Asked: rounded(rest.demand), Begun: rounded(rest.started)})
+		list = append(list, wire.AccountFlow{Demand: rounded(rest.demand), Started: rounded(rest.started)})
 	}
 	return list
 }
--- a/pkg/admit/update.go
+++ b/pkg/admit/update.go
@@ -99,6 +99,6 @@
 }
 
 // incarnationKey returns the key of a backend server's incarnation.
-func incarnationKey(b *table.Backend) wire.Key { return wire.KeyOf(b.Incarnation().String()) }
+func incarnationKey(b *table.Backend) wire.NameHash { return wire.HashName(b.Incarnation().String()) }
 
 func compareNames(a, b *server) int { return cmp.Compare(a.Name, b.Name) }
