--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -17,10 +17,10 @@
 
 // Bounds of a read.
 const (
-	// MaxValue is the largest value the platform holds, in bytes.
-	MaxValue = 1 << 20
-	// WatchFor is how long a watch waits for news.
-	WatchFor = 20 * time.Second
+	// MaxValueSize is the largest value the platform holds, in bytes.
+	MaxValueSize = 1 << 20
+	// WatchTimeout is how long a watch waits for news.
+	WatchTimeout = 20 * time.Second
 	// readTimeout is how much longer than it should a read may take.
 	readTimeout = 3 * time.Second
 	// RevisionHeader is the response header with a value's revision.
@@ -99,8 +99,8 @@
 	return Value{Revision: rev, Data: data}, true, nil
 }
 
-// Newer returns the named value if its revision is above after, and does not wait for news.
-func (c *Client) Newer(ctx context.Context, name string, after uint64) (v Value, ok bool, err error) {
+// GetIfNewer returns the named value if its revision is above after, and does not wait for news.
+func (c *Client) GetIfNewer(ctx context.Context, name string, after uint64) (v Value, ok bool, err error) {
 	data, rev, err := c.get(ctx, "v1/values/"+name, after, noWait(after))
 	if err != nil || data == nil {
 		return Value{}, false, err
@@ -135,7 +135,7 @@
 	if after == 0 {
 		return 0
 	}
-	return WatchFor
+	return WatchTimeout
 }
 
 func (c *Client) get(ctx context.Context, path string, after uint64, wait time.Duration) ([]byte, uint64, error) {
@@ -159,12 +159,12 @@
 	default:
 		return nil, 0, fmt.Errorf("platform: read %s: status %d", path, resp.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, MaxValue+1))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, MaxValueSize+1))
 	if err != nil {
 		return nil, 0, fmt.Errorf("platform: read %s: %w", path, err)
 	}
-	if len(data) > MaxValue {
-		return nil, 0, fmt.Errorf("platform: read %s: value is over %d bytes", path, MaxValue)
+	if len(data) > MaxValueSize {
+		return nil, 0, fmt.Errorf("platform: read %s: value is over %d bytes", path, MaxValueSize)
 	}
 	rev, err := strconv.ParseUint(resp.Header.Get(RevisionHeader), 10, 64)
 	if err != nil {
--- a/internal/values/source.go
+++ b/internal/values/source.go
@@ -28,8 +28,8 @@
 type Client interface {
 	// Watch waits until a value has a revision above after, for a while at most.
 	Watch(ctx context.Context, name string, after uint64) (platform.Value, bool, error)
-	// Newer returns a value if its revision is above after, and does not wait.
-	Newer(ctx context.Context, name string, after uint64) (platform.Value, bool, error)
+	// GetIfNewer returns a value if its revision is above after, and does not wait.
+	GetIfNewer(ctx context.Context, name string, after uint64) (platform.Value, bool, error)
 	WatchInstances(ctx context.Context, after uint64) (platform.Instances, bool, error)
 	Calls() int64
 }
@@ -50,7 +50,7 @@
 
 // Read returns the table as it is now.
 func (s *Source) Read(ctx context.Context) (catalog.Update, error) {
-	v, ok, err := s.client.Newer(ctx, TableName, 0)
+	v, ok, err := s.client.GetIfNewer(ctx, TableName, 0)
 	if err != nil || !ok {
 		return catalog.Update{}, err
 	}
@@ -74,7 +74,7 @@
 	s.mu.Lock()
 	newest := s.newest
 	s.mu.Unlock()
-	v, ok, err := s.client.Newer(ctx, TableName, newest)
+	v, ok, err := s.client.GetIfNewer(ctx, TableName, newest)
 	if err != nil || !ok {
 		return catalog.Revision{Number: newest}, err
 	}
@@ -140,7 +140,7 @@
 	if ok && kept.Revision == revision {
 		return kept, nil
 	}
-	v, ok, err := s.client.Newer(ctx, name, 0)
+	v, ok, err := s.client.GetIfNewer(ctx, name, 0)
 	if err != nil {
 		return platform.Value{}, errors.Join(errPagesAhead, err)
 	}
--- a/internal/values/source_test.go
+++ b/internal/values/source_test.go
@@ -17,14 +17,14 @@
 	reads  map[string]int
 }
 
-func (p *valuesOnly) Newer(_ context.Context, name string, after uint64) (platform.Value, bool, error) {
+func (p *valuesOnly) GetIfNewer(_ context.Context, name string, after uint64) (platform.Value, bool, error) {
 	p.reads[name]++
 	v, ok := p.values[name]
 	return v, ok && v.Revision > after, nil
 }
 
 func (p *valuesOnly) Watch(ctx context.Context, name string, after uint64) (platform.Value, bool, error) {
-	return p.Newer(ctx, name, after)
+	return p.GetIfNewer(ctx, name, after)
 }
 
 func (p *valuesOnly) WatchInstances(context.Context, uint64) (platform.Instances, bool, error) {
--- a/test/soak/copy.go
+++ b/test/soak/copy.go
@@ -27,12 +27,12 @@
 // checkCopy has the store lose many changes that the routers know, and take a key away in the
 // first that it takes then: every router is to refuse it as soon as after any other change.
 func (f *fleet) checkCopy(j *judge, plant string) {
-	held := f.store.Copy()
+	held := f.store.Backup()
 	for i := range lostChanges {
 		f.store.Put("other/lost", i)
 	}
 	time.Sleep(knownWithin)
-	f.store.ComeBack(held, lastAway, nil)
+	f.store.Restore(held, lastAway, nil)
 	if plant != RuleCopy {
 		f.lastRevoked = true
 		f.configure()
--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -43,11 +43,11 @@
 // id, as those of the operators do.
 func (f *fleet) restartEnded() {
 	for i, w := range f.workers {
-		if !w.Ended() {
+		if !w.Crashed() {
 			continue
 		}
-		f.store.Remove(w.ID)
-		w.Rename(fmt.Sprintf("i-%d-%d", i, f.endsUnder.Load()))
+		f.store.Deregister(w.ID)
+		w.SetID(fmt.Sprintf("i-%d-%d", i, f.endsUnder.Load()))
 		f.reborn(i)
 	}
 }
--- a/test/soak/fleet.go
+++ b/test/soak/fleet.go
@@ -38,7 +38,7 @@
 	name, dir       string
 	callers, peers  string
 	admin           string
-	door            *standin.Door
+	door            *standin.Endpoint
 	front           *proxy
 	mu              sync.Mutex
 	cmd             *exec.Cmd
@@ -109,7 +109,7 @@
 		return err
 	}
 	f.workers = append(f.workers, w)
-	w.EndOn(deadlyBody, func() { f.endsUnder.Add(1) })
+	w.CrashOn(deadlyBody, func() { f.endsUnder.Add(1) })
 	link, err := newProxy(w.Address())
 	if err != nil {
 		return err
@@ -136,11 +136,11 @@
 
 // put writes a worker's entry. f.statesMu is held.
 func (f *fleet) put(i int) {
-	f.store.Enter(f.workers[i], serviceOf(i), f.links[i].address(), f.states[i], slots)
+	f.store.Register(f.workers[i], serviceOf(i), f.links[i].address(), f.states[i], slots)
 }
 
 func (f *fleet) addRouter(i int) error {
-	door, err := f.store.Open()
+	door, err := f.store.Listen()
 	if err != nil {
 		return err
 	}
@@ -300,7 +300,7 @@
 	route := func(kind Kind, repeat, service string) standin.Route {
 		return standin.Route{
 			Name: string(kind), Kind: repeat, Service: service, Public: kind == Submit, Resumable: kind == Read,
-			Attempts: 2, Timeout: 6 * time.Second, Target: 400 * time.Millisecond, Pause: 100 * time.Millisecond,
+			Attempts: 2, Timeout: 6 * time.Second, TargetLatency: 400 * time.Millisecond, TargetGap: 100 * time.Millisecond,
 		}
 	}
 	f.store.Configure(&standin.Config{
@@ -310,7 +310,7 @@
 			route(Submit, standin.Unsafe, serviceOf(engines)), route(Look, standin.Safe, serviceOf(engines)),
 		},
 		Services: []standin.Service{
-			{Name: serviceOf(0), Slots: slots, Connections: 500}, {Name: serviceOf(engines), Connections: 500},
+			{Name: serviceOf(0), Slots: slots, MaxConnections: 500}, {Name: serviceOf(engines), MaxConnections: 500},
 		},
 	})
 }
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -184,18 +184,18 @@
 	case StoreCopy:
 		f.storeFromCopy(s, changes)
 	case StoreForget:
-		f.store.Forget()
+		f.store.Compact()
 	case CallersReset:
 		r.front.reset()
 	default:
-		r.door.Set(modes[s.Fault], 0)
+		r.door.SetMode(modes[s.Fault], 0)
 		time.Sleep(s.For)
-		r.door.Set(standin.Sound, 0)
+		r.door.SetMode(standin.Healthy, 0)
 	}
 }
 
 var modes = map[Fault]standin.Mode{
-	StoreBusy: standin.Busy, StoreSilent: standin.Silent, StoreReset: standin.Reset, StoreDeaf: standin.Deaf,
+	StoreBusy: standin.Unavailable, StoreSilent: standin.Unresponsive, StoreReset: standin.Reset, StoreDeaf: standin.NoChanges,
 }
 
 // restart ends a router's process by a signal and starts another, unless one of
@@ -230,24 +230,24 @@
 	case LinkReset:
 		link.reset()
 	case WorkerCuts:
-		w.CutAt(events / 2)
+		w.DisconnectAfter(events / 2)
 	case WorkerHangs:
-		w.HangAt(events / 2)
+		w.StallAfter(events / 2)
 	case WorkerReborn:
 		f.reborn(s.Target)
 	case EntrySpoilt:
-		f.store.Damage(w.ID, w, serviceOf(s.Target), link.address(), slots, f.draws(s))
+		f.store.PutCorrupt(w.ID, w, serviceOf(s.Target), link.address(), slots, f.draws(s))
 		time.Sleep(s.For)
 		f.enterAgain(s.Target)
 	case EntryStray:
 		stray := fmt.Sprintf("stray-%d", s.At)
-		f.store.Damage(stray, w, serviceOf(s.Target), link.address(), slots, f.draws(s))
+		f.store.PutCorrupt(stray, w, serviceOf(s.Target), link.address(), slots, f.draws(s))
 		time.Sleep(s.For)
-		f.store.Remove(stray)
+		f.store.Deregister(stray)
 	case WorkerFails, WorkerRefuses:
-		w.Set(s.Fault == WorkerFails, s.Fault == WorkerRefuses)
+		w.SetErrors(s.Fault == WorkerFails, s.Fault == WorkerRefuses)
 		time.Sleep(s.For)
-		w.Set(false, false)
+		w.SetErrors(false, false)
 	}
 }
 
@@ -263,9 +263,9 @@
 // write it again a moment later, each at a time of its own.
 func (f *fleet) storeFromCopy(s Step, changes *sync.Mutex) {
 	rng := f.draws(s)
-	held := f.store.Copy()
+	held := f.store.Backup()
 	time.Sleep(s.For)
-	f.store.ComeBack(held, leastAway+time.Duration(rng.Int64N(int64(mostAway-leastAway))), nil)
+	f.store.Restore(held, leastAway+time.Duration(rng.Int64N(int64(mostAway-leastAway))), nil)
 	var writers sync.WaitGroup
 	write := func(do func()) {
 		after := time.Duration(rng.Int64N(int64(againAfter)))
@@ -303,7 +303,7 @@
 func (r *Run) awaitServing(t *traffic, when string) error {
 	if r.Plant == RuleRecover && when == "end" {
 		for _, w := range t.fleet.workers[engines:] {
-			t.fleet.store.Remove(w.ID)
+			t.fleet.store.Deregister(w.ID)
 		}
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
