--- a/internal/dispatch/lag.go
+++ b/internal/dispatch/lag.go
@@ -6,13 +6,11 @@
 	"time"
 )
 
-// lagEvery is the interval at which it is measured how late this process
-// learns of what came to its sockets.
-const lagEvery = 50 * time.Millisecond
+// lagInterval is the interval of lag measurements.
+const lagInterval = 50 * time.Millisecond
 
-// measureLag is the task that writes to a pipe and sees how late the other end
-// hears of it: a process with too little time still runs its timers, but looks
-// at its sockets late.
+// measureLag measures the delay between writing to a pipe and reading from it. A process that
+// lacks processor time still runs its timers, but polls its sockets late.
 func (d *Dispatcher) measureLag() {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -22,7 +20,7 @@
 	d.tasks.Add(1)
 	go func() {
 		defer d.tasks.Done()
-		d.writeLag(w)
+		d.writeLagProbes(w)
 	}()
 	defer func() { _ = r.Close() }()
 	var buf [8]byte
@@ -31,14 +29,14 @@
 			return
 		}
 		sent := time.Duration(binary.LittleEndian.Uint64(buf[:]))
-		d.post(lagged{time.Since(d.begun) - sent})
+		d.post(lagEvent{time.Since(d.steadyStart) - sent})
 	}
 }
 
-// writeLag writes the time into the pipe until the dispatcher ends.
-func (d *Dispatcher) writeLag(w *os.File) {
+// writeLagProbes writes the time into the pipe until the dispatcher is closed.
+func (d *Dispatcher) writeLagProbes(w *os.File) {
 	defer func() { _ = w.Close() }()
-	tick := time.NewTicker(lagEvery)
+	tick := time.NewTicker(lagInterval)
 	defer tick.Stop()
 	var buf [8]byte
 	for {
@@ -46,7 +44,7 @@
 		case <-d.ctx.Done():
 			return
 		case due := <-tick.C:
-			at := due.Sub(d.begun)
+			at := due.Sub(d.steadyStart)
 			binary.LittleEndian.PutUint64(buf[:], uint64(at))
 			if _, err := w.Write(buf[:]); err != nil {
 				return
@@ -55,7 +53,7 @@
 	}
 }
 
-// lagged says how late this process heard of something.
-type lagged struct{ by time.Duration }
+// lagEvent is a lag measurement.
+type lagEvent struct{ delay time.Duration }
 
-func (e lagged) apply(s *state) { s.keepPace(e.by) }
+func (e lagEvent) apply(s *state) { s.observeDelay(e.delay) }
