--- a/pkg/table/parse.go
+++ b/pkg/table/parse.go
@@ -90,8 +90,10 @@
 	return c.doc.Err()
 }
 
+// checker validates rows and records problems in the Doc of the current page.
 type checker struct {
-	doc   *strictyaml.Doc
+	doc *strictyaml.Doc
+	// names holds kind and name of all rows so far, keys the account of each key hash.
 	names map[string]bool
 	keys  map[string]string
 }
@@ -116,11 +118,11 @@
 	if a.Priority < 0 || a.Priority > maxPriority {
 		c.doc.Add(fmt.Sprintf("is %d; write 0 to %d", a.Priority, maxPriority), "accounts", i, "priority")
 	}
-	c.key(i, a)
+	c.accountKeys(i, a)
 	c.limits(i, &a.Limits)
 }
 
-func (c *checker) key(i int, a *Account) {
+func (c *checker) accountKeys(i int, a *Account) {
 	if a.KeySHA256 == "" {
 		c.doc.Add("is missing; write the hex SHA-256 of the account's key", "accounts", i, "key_sha256")
 		return
@@ -131,17 +133,17 @@
 	}
 }
 
-func (c *checker) keyHash(a *Account, key *string, path ...any) {
-	raw, err := hex.DecodeString(*key)
+func (c *checker) keyHash(a *Account, hash *string, path ...any) {
+	raw, err := hex.DecodeString(*hash)
 	if err != nil || len(raw) != hashBytes {
 		c.doc.Add("is not 64 hex digits; write the SHA-256 of the account's key", path...)
 		return
 	}
-	*key = hex.EncodeToString(raw)
-	if other, duplicate := c.keys[*key]; duplicate {
+	*hash = hex.EncodeToString(raw)
+	if other, duplicate := c.keys[*hash]; duplicate {
 		c.doc.Add(fmt.Sprintf("is also the key of account %q; give each account its own", other), path...)
 	}
-	c.keys[*key] = a.Name
+	c.keys[*hash] = a.Name
 }
 
 func (c *checker) limits(i int, l *Limits) {
--- a/pkg/table/parse_route.go
+++ b/pkg/table/parse_route.go
@@ -29,7 +29,7 @@
 		value time.Duration
 	}{{"timeout", r.Timeout}, {"target", r.TargetLatency}, {"pause", r.TargetGap}, {"attempts", time.Duration(r.Attempts)}} {
 		if d.value < 0 {
-			c.doc.Add("must not be below zero", "routes", i, d.field)
+			c.doc.Add("must not be negative", "routes", i, d.field)
 		}
 	}
 }
@@ -54,16 +54,16 @@
 		c.doc.Add(fmt.Sprintf("%q must begin with a slash", s.Health), "services", i, "health")
 	}
 	if s.MaxConnections < 0 {
-		c.doc.Add("must not be below zero", "services", i, "max_connections")
+		c.doc.Add("must not be negative", "services", i, "max_connections")
 	}
 	if !(s.WarmupRate >= 0) || math.IsInf(s.WarmupRate, 0) {
-		c.doc.Add("must be a number that is not below zero", "services", i, "warmup_rate")
+		c.doc.Add("must be a finite number that is not negative", "services", i, "warmup_rate")
 	}
 	if s.WarmupTime < 0 {
-		c.doc.Add("must not be below zero", "services", i, "warmup_time")
+		c.doc.Add("must not be negative", "services", i, "warmup_time")
 	}
 	if s.CacheTokens < 0 {
-		c.doc.Add("must not be below zero", "services", i, "cache_tokens")
+		c.doc.Add("must not be negative", "services", i, "cache_tokens")
 	}
 }
 
@@ -76,7 +76,7 @@
 		c.doc.Add("occur on another page too; keep them on one", "bounds")
 	}
 	if b.HeaderBytes < 0 || b.BodyBytes < 0 || b.HeaderTime < 0 || b.IdleTime < 0 || !(b.TokensPerSecond >= 0) {
-		c.doc.Add("must not be below zero", "bounds")
+		c.doc.Add("must not be negative", "bounds")
 	}
 	t.Bounds = *b
 }
