--- a/pkg/wire/codec.go
+++ b/pkg/wire/codec.go
@@ -15,8 +15,8 @@
 
 // The message types. The fields of a type never change, because the decoder
 // rejects an array of another length: add a new type instead. A new type must not
-// intern strings. Older routers skip it, so their table of interned strings would
-// no longer match the sender's.
+// intern strings, because older routers skip it and would miss strings that later
+// messages refer to.
 const (
 	KindHello                 Kind = 1
 	KindDemand                Kind = 2
@@ -75,7 +75,7 @@
 var ErrUnknownType = errors.New("wire: unknown message type")
 
 func kindOf(msg any) (Kind, error) {
-	k, ok := kinds[reflect.TypeOf(msg)]
+	k, ok := kindByType[reflect.TypeOf(msg)]
 	if !ok {
 		return 0, fmt.Errorf("%w: %T", ErrUnknownType, msg)
 	}
@@ -83,16 +83,16 @@
 }
 
 // kindByType is the inverse of newMessage.
-var kinds = func() map[reflect.Type]Kind {
-	m := make(map[reflect.Type]Kind, len(factories))
-	for k, f := range factories {
+var kindByType = func() map[reflect.Type]Kind {
+	m := make(map[reflect.Type]Kind, len(newMessage))
+	for k, f := range newMessage {
 		m[reflect.TypeOf(f())] = k
 	}
 	return m
 }()
 
 // newMessage has a constructor for each kind.
-var factories = map[Kind]func() any{
+var newMessage = map[Kind]func() any{
 	KindHello:                 func() any { return &Hello{} },
 	KindDemand:                func() any { return &Demand{} },
 	KindGrant:                 func() any { return &Grant{} },
@@ -159,20 +159,20 @@
 
 // Decoder decodes the frames of one connection in order.
 type Decoder struct {
-	in  *bytes.Reader
+	src *bytes.Reader
 	dec *msgpack.Decoder
 }
 
 // NewDecoder returns a decoder for a new connection.
 func NewDecoder() *Decoder {
-	in := bytes.NewReader(nil)
-	return &Decoder{in: in, dec: msgpack.NewDecoder(in)}
+	src := bytes.NewReader(nil)
+	return &Decoder{src: src, dec: msgpack.NewDecoder(src)}
 }
 
 // Decode returns all messages of a payload. It skips messages of unknown kinds,
 // which newer routers may send.
 func (d *Decoder) Decode(payload []byte) ([]any, error) {
-	d.in.Reset(payload)
+	d.src.Reset(payload)
 	var msgs []any
 	for {
 		k, err := d.dec.DecodeUint8()
@@ -182,14 +182,14 @@
 		if err != nil {
 			return nil, fmt.Errorf("wire: decode kind: %w", err)
 		}
-		f, known := factories[Kind(k)]
+		newMsg, known := newMessage[Kind(k)]
 		if !known {
 			if err := d.dec.Skip(); err != nil {
 				return nil, fmt.Errorf("wire: skip kind %d: %w", k, err)
 			}
 			continue
 		}
-		msg := f()
+		msg := newMsg()
 		if err := d.dec.Decode(msg); err != nil {
 			return nil, fmt.Errorf("wire: decode kind %d: %w", k, err)
 		}
