--- a/cmd/yarrowctl/cmd_burn.go
+++ b/cmd/yarrowctl/cmd_burn.go
@@ -62,7 +62,7 @@
 func collectBurn(asker *fleet.Client, routers []fleet.Router) (*burn.Report, error) {
 	var snapshots []burn.Snapshot
 	var missing []string
-	for _, a := range fleet.Ask[burn.Snapshot](asker, routers, admin.PathBurn) {
+	for _, a := range fleet.Query[burn.Snapshot](asker, routers, admin.PathBurn) {
 		if a.Error != "" {
 			missing = append(missing, a.Router.Name)
 			continue
--- a/cmd/yarrowctl/cmd_drain.go
+++ b/cmd/yarrowctl/cmd_drain.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	p, known := drainProgress(drainArgs.name, fleet.Ask[router.Status](asker, routers, admin.PathStatus))
+	p, known := drainProgress(drainArgs.name, fleet.Query[router.Status](asker, routers, admin.PathStatus))
 	if !known && len(p.Missing) == 0 {
 		return errUnknownBackend
 	}
@@ -68,7 +68,7 @@
 	return err
 }
 
-func drainProgress(name string, answers []fleet.Answer[router.Status]) (p progress, known bool) {
+func drainProgress(name string, answers []fleet.Response[router.Status]) (p progress, known bool) {
 	p.Backend = name
 	for _, a := range answers {
 		if a.Error != "" {
--- a/cmd/yarrowctl/cmd_parts.go
+++ b/cmd/yarrowctl/cmd_parts.go
@@ -32,5 +32,5 @@
 	if err != nil {
 		return err
 	}
-	return explain.Parts(c.Out, records, partsArgs.window, partsArgs.rows)
+	return explain.LeastServed(c.Out, records, partsArgs.window, partsArgs.rows)
 }
--- a/cmd/yarrowctl/cmd_status.go
+++ b/cmd/yarrowctl/cmd_status.go
@@ -47,7 +47,7 @@
 // routers returns the admin addresses to ask, by router name.
 func (a *fleetArgs) routers() ([]fleet.Router, error) {
 	if a.platform != "" {
-		return fleet.Listed(a.platform)
+		return fleet.ListRouters(a.platform)
 	}
 	if len(a.admin) == 0 {
 		return nil, errNoRouters
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	answers := fleet.Ask[*statusRow](asker, routers, admin.PathStatus)
+	answers := fleet.Query[*statusRow](asker, routers, admin.PathStatus)
 	if statusArgs.json {
 		return json.NewEncoder(c.Out).Encode(answers)
 	}
@@ -93,7 +93,7 @@
 }
 
 // failIfMissing fails a command that could not ask every router.
-func failIfMissing[V any](answers []fleet.Answer[V]) error {
+func failIfMissing[V any](answers []fleet.Response[V]) error {
 	for _, a := range answers {
 		if a.Error != "" {
 			return command.ErrFailed
--- a/cmd/yarrowctl/cmd_table.go
+++ b/cmd/yarrowctl/cmd_table.go
@@ -44,8 +44,8 @@
 	if err != nil {
 		return err
 	}
-	ask := func() []fleet.Answer[router.Status] {
-		return fleet.Ask[router.Status](asker, routers, admin.PathStatus)
+	ask := func() []fleet.Response[router.Status] {
+		return fleet.Query[router.Status](asker, routers, admin.PathStatus)
 	}
 	answers := ask()
 	if tableArgs.wait > 0 {
@@ -65,7 +65,7 @@
 
 // waitForTable asks again and again until the version is in force wherever
 // there is an answer.
-func waitForTable(c *command.Context, ask func() []fleet.Answer[router.Status], answers []fleet.Answer[router.Status]) ([]fleet.Answer[router.Status], error) {
+func waitForTable(c *command.Context, ask func() []fleet.Response[router.Status], answers []fleet.Response[router.Status]) ([]fleet.Response[router.Status], error) {
 	deadline := time.Now().Add(tableArgs.timeout)
 	told := time.Now()
 	for {
@@ -85,7 +85,7 @@
 	}
 }
 
-func behindTable(answers []fleet.Answer[router.Status]) []string {
+func behindTable(answers []fleet.Response[router.Status]) []string {
 	var behind []string
 	for _, a := range answers {
 		if a.Error == "" && a.Value.Table < tableArgs.wait {
@@ -95,7 +95,7 @@
 	return behind
 }
 
-func printTable(c *command.Context, answers []fleet.Answer[router.Status]) error {
+func printTable(c *command.Context, answers []fleet.Response[router.Status]) error {
 	t := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "router\tzone\tversion\tin force for\treader\trefused")
 	for _, a := range answers {
--- a/cmd/yarrowctl/yarrowctl_test.go
+++ b/cmd/yarrowctl/yarrowctl_test.go
@@ -11,8 +11,8 @@
 	"github.com/yarrowmast/yarrowmast/internal/router"
 )
 
-func answer(name, mark string, running, leases int) fleet.Answer[router.Status] {
-	return fleet.Answer[router.Status]{
+func answer(name, mark string, running, leases int) fleet.Response[router.Status] {
+	return fleet.Response[router.Status]{
 		Router: fleet.Router{Name: name},
 		Value: router.Status{Name: name, Table: 7, Backends: map[string]router.BackendStatus{
 			"form-1": {Mark: mark, Running: running, Leases: leases, OldestMillis: int64(1000 * running)},
@@ -20,24 +20,24 @@
 	}
 }
 
-func missing(name string) fleet.Answer[router.Status] {
-	return fleet.Answer[router.Status]{Router: fleet.Router{Name: name}, Error: "refused"}
+func missing(name string) fleet.Response[router.Status] {
+	return fleet.Response[router.Status]{Router: fleet.Router{Name: name}, Error: "refused"}
 }
 
 func TestDrainIsSafeOnlyIfAllAgree(t *testing.T) {
 	tests := map[string]struct {
-		answers []fleet.Answer[router.Status]
+		answers []fleet.Response[router.Status]
 		want    progress
 	}{
-		"all agree": {[]fleet.Answer[router.Status]{answer("a", "leaving", 0, 0), answer("b", "stopping", 0, 0)},
+		"all agree": {[]fleet.Response[router.Status]{answer("a", "leaving", 0, 0), answer("b", "stopping", 0, 0)},
 			progress{Backend: "form-1", Safe: true}},
-		"one runs": {[]fleet.Answer[router.Status]{answer("a", "leaving", 2, 0), answer("b", "leaving", 0, 0)},
+		"one runs": {[]fleet.Response[router.Status]{answer("a", "leaving", 2, 0), answer("b", "leaving", 0, 0)},
 			progress{Backend: "form-1", Running: 2, OldestMillis: 2000}},
-		"one may start": {[]fleet.Answer[router.Status]{answer("a", "leaving", 0, 1)},
+		"one may start": {[]fleet.Response[router.Status]{answer("a", "leaving", 0, 1)},
 			progress{Backend: "form-1", Leases: 1}},
-		"one has no mark": {[]fleet.Answer[router.Status]{answer("a", "serving", 0, 0)},
+		"one has no mark": {[]fleet.Response[router.Status]{answer("a", "serving", 0, 0)},
 			progress{Backend: "form-1", Open: []string{"a"}}},
-		"one is silent": {[]fleet.Answer[router.Status]{answer("a", "leaving", 0, 0), missing("b")},
+		"one is silent": {[]fleet.Response[router.Status]{answer("a", "leaving", 0, 0), missing("b")},
 			progress{Backend: "form-1", Missing: []string{"b"}}},
 	}
 	for name, tc := range tests {
@@ -56,7 +56,7 @@
 func TestBehindTable(t *testing.T) {
 	tableArgs.wait = 8
 	defer func() { tableArgs.wait = 0 }()
-	if diff := cmp.Diff([]string{"a"}, behindTable([]fleet.Answer[router.Status]{answer("a", "serving", 0, 0), missing("b")})); diff != "" {
+	if diff := cmp.Diff([]string{"a"}, behindTable([]fleet.Response[router.Status]{answer("a", "serving", 0, 0), missing("b")})); diff != "" {
 		t.Errorf("behind (-want +got):\n%s", diff)
 	}
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -54,8 +54,8 @@
 	leaving atomic.Bool
 }
 
-// Leave says from now on that the router is not ready.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// MarkNotReady says from now on that the router is not ready.
+func (s *Server) MarkNotReady() { s.leaving.Store(true) }
 
 // New returns a server that shows the source, the metrics and the burn.
 func New(s Source, metrics http.Handler, burn func() any, tlsConfig *tls.Config) *Server {
--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -18,7 +18,7 @@
 	return front.Outcome{Account: "moka", Model: "form", Status: status, Code: code, Verdict: verdict, FirstByte: first, Total: first, Tokens: 1}
 }
 
-func find(t *testing.T, r *burn.Report, objective string) burn.Level {
+func find(t *testing.T, r *burn.Report, objective string) burn.ServiceLevel {
 	t.Helper()
 	for _, l := range r.Levels {
 		if l.Objective == objective {
@@ -26,7 +26,7 @@
 		}
 	}
 	t.Fatalf("no level %s in %+v", objective, r.Levels)
-	return burn.Level{}
+	return burn.ServiceLevel{}
 }
 
 func TestBurnOverTwoWindowsAndRouters(t *testing.T) {
--- a/internal/burn/plot.go
+++ b/internal/burn/plot.go
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func label(l Level) string {
+func label(l ServiceLevel) string {
 	text := l.Account + " " + l.Model + " " + l.Objective
 	if len(text) > labelLength {
 		text = text[:labelLength]
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -26,8 +26,8 @@
 	AlertPage   Alert = "page"
 )
 
-// Level is how one service level is kept by one account and model.
-type Level struct {
+// ServiceLevel is how one service level is kept by one account and model.
+type ServiceLevel struct {
 	Account string `json:"account"`
 	Model   string `json:"model"`
 	// Objective is availability, refusals, first-token or between-tokens.
@@ -53,8 +53,8 @@
 // Report is the fleet's burn.
 type Report struct {
 	// Levels has the worst first.
-	Levels []Level      `json:"levels"`
-	First  []FirstToken `json:"first_token"`
+	Levels []ServiceLevel `json:"levels"`
+	First  []FirstToken   `json:"first_token"`
 	// Missing names the routers that did not answer.
 	Missing []string `json:"missing"`
 	// Uncounted is how many requests found no room at their router.
@@ -135,7 +135,7 @@
 	sort.Slice(r.First, func(i, j int) bool { return r.First[i].Model < r.First[j].Model })
 }
 
-func worse(a, b *Level) bool {
+func worse(a, b *ServiceLevel) bool {
 	if a.Long != b.Long {
 		return a.Long > b.Long
 	}
@@ -148,10 +148,10 @@
 	return a.Objective < b.Objective
 }
 
-func (x *Row) levels(o config.Objectives) []Level {
-	var all []Level
+func (x *Row) levels(o config.Objectives) []ServiceLevel {
+	var all []ServiceLevel
 	for _, l := range levels {
-		v := Level{
+		v := ServiceLevel{
 			Account: x.Account, Model: x.Model, Objective: l.name, Requests: l.of(x.Long),
 			Short: rate(l.bad(x.Short), l.of(x.Short), l.allowed(o)),
 			Long:  rate(l.bad(x.Long), l.of(x.Long), l.allowed(o)),
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -54,8 +54,8 @@
 // Option changes a new Clock.
 type Option func(*Clock)
 
-// WithBoot replaces the clock that counts suspensions.
-func WithBoot(read func() (time.Duration, error)) Option {
+// WithBootClock replaces the clock that counts suspensions.
+func WithBootClock(read func() (time.Duration, error)) Option {
 	return func(c *Clock) { c.readBoot = read }
 }
 
@@ -118,7 +118,7 @@
 	t := steady()
 	if (c.driftAt(t) - time.Duration(c.drift.Load())).Abs() > driftTolerance {
 		// The machine was suspended, or somebody set the time of day.
-		c.Look()
+		c.CheckSuspension()
 	}
 	return t.Add(time.Duration(c.missing.Load()))
 }
@@ -156,13 +156,13 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			c.Look()
+			c.CheckSuspension()
 		}
 	}
 }
 
-// Look looks whether the machine was suspended. What is due by then is done at once.
-func (c *Clock) Look() {
+// CheckSuspension looks whether the machine was suspended. What is due by then is done at once.
+func (c *Clock) CheckSuspension() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fault != nil {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -37,7 +37,7 @@
 	for name, span := range map[string]time.Duration{"a moment": 200 * time.Millisecond, "seconds": 6 * time.Second, "a minute": time.Minute} {
 		t.Run(name, func(t *testing.T) {
 			m := newMachine()
-			c := clock.New(clock.WithBoot(m.boot))
+			c := clock.New(clock.WithBootClock(m.boot))
 			fired := make(chan time.Duration, 3)
 			for _, part := range []time.Duration{2, 3, 1} {
 				after := span * part / 4
@@ -51,7 +51,7 @@
 			// A look may find less than all where this test is interrupted in it.
 			least := span - 10*time.Millisecond
 			for end := time.Now().Add(generous); c.Suspended() < least && time.Now().Before(end); {
-				c.Look()
+				c.CheckSuspension()
 			}
 			if got := c.Since(begun); got < least {
 				t.Errorf("%v have passed, want %v at least", got, span)
@@ -93,11 +93,11 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			m := newMachine()
-			c := clock.New(clock.WithBoot(m.boot))
+			c := clock.New(clock.WithBootClock(m.boot))
 			begun, steady := c.Now(), time.Now()
 			tc.disturb(m)
 			for range 3 {
-				c.Look()
+				c.CheckSuspension()
 			}
 			if got, want := c.Since(begun), time.Since(steady); (got - want).Abs() > time.Second {
 				t.Errorf("%v have passed, want %v", got, want)
@@ -114,7 +114,7 @@
 
 // TestUnreadableAtTheStart has no boot clock at all: the clock says why, and goes on.
 func TestUnreadableAtTheStart(t *testing.T) {
-	c := clock.New(clock.WithBoot(func() (time.Duration, error) { return 0, errors.New("no such clock") }))
+	c := clock.New(clock.WithBootClock(func() (time.Duration, error) { return 0, errors.New("no such clock") }))
 	if c.Fault() == nil || c.Suspended() != 0 || c.Since(c.Now()) < 0 {
 		t.Errorf("fault %v, suspended for %v", c.Fault(), c.Suspended())
 	}
@@ -124,7 +124,7 @@
 func TestSystem(t *testing.T) {
 	c := clock.System()
 	before := c.Now()
-	c.Look()
+	c.CheckSuspension()
 	if c.Since(before) < 0 || c.Until(before) > 0 {
 		t.Error("the time goes back")
 	}
@@ -157,7 +157,7 @@
 	})
 	b.Run("look", func(b *testing.B) {
 		for b.Loop() {
-			c.Look()
+			c.CheckSuspension()
 		}
 	})
 }
--- a/internal/config/change.go
+++ b/internal/config/change.go
@@ -12,14 +12,14 @@
 
 // Change is the difference between two settings, by the names of the fields.
 type Change struct {
-	// Taken can be taken over by a running router.
-	Taken []string
-	// Left need a new start.
-	Left []string
+	// Applied can be taken over by a running router.
+	Applied []string
+	// NeedRestart need a new start.
+	NeedRestart []string
 }
 
 // Empty reports whether nothing changed.
-func (c Change) Empty() bool { return len(c.Taken) == 0 && len(c.Left) == 0 }
+func (c Change) Empty() bool { return len(c.Applied) == 0 && len(c.NeedRestart) == 0 }
 
 // Compare returns what changed from one to the other.
 func Compare(from, to Settings) Change {
@@ -31,9 +31,9 @@
 		}
 		name, _, _ := strings.Cut(a.Type().Field(i).Tag.Get("yaml"), ",")
 		if slices.Contains(reloadable, name) {
-			c.Taken = append(c.Taken, name)
+			c.Applied = append(c.Applied, name)
 		} else {
-			c.Left = append(c.Left, name)
+			c.NeedRestart = append(c.NeedRestart, name)
 		}
 	}
 	return c
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -49,21 +49,21 @@
 	MaxHeaderBytes int `yaml:"max_header_bytes"`
 	// DefaultDeadline is for requests that state none. Default 5m.
 	DefaultDeadline time.Duration `yaml:"default_deadline"`
-	// SlowCaller bounds one read or write. Default 30s.
-	SlowCaller time.Duration `yaml:"slow_caller"`
+	// IOTimeout bounds one read or write. Default 30s.
+	IOTimeout time.Duration `yaml:"slow_caller"`
 	// MaxOpen bounds the requests open at once. Default 20000.
 	MaxOpen int64 `yaml:"max_open"`
-	// PassWithin is within what time an event that a backend server sent is to
+	// MaxEventDelay is within what time an event that a backend server sent is to
 	// reach its caller. Default 200ms.
-	PassWithin time.Duration `yaml:"pass_within"`
+	MaxEventDelay time.Duration `yaml:"pass_within"`
 }
 
 // Backends bounds what backend servers may do.
 type Backends struct {
-	// Idle is how long a stream may stay silent. Default 60s.
-	Idle time.Duration `yaml:"idle"`
-	// MaxAnswerBytes is the largest whole answer. Default 33554432.
-	MaxAnswerBytes int64 `yaml:"max_answer_bytes"`
+	// IdleTimeout is how long a stream may stay silent. Default 60s.
+	IdleTimeout time.Duration `yaml:"idle"`
+	// MaxResponseBytes is the largest whole answer. Default 33554432.
+	MaxResponseBytes int64 `yaml:"max_answer_bytes"`
 }
 
 // Objectives are the service levels that burn is reported against. Each is
@@ -153,9 +153,9 @@
 		Retries:      Retries{Ratio: 0.1, Extra: 20, Window: 10 * time.Second},
 		Callers: Callers{
 			MaxBodyBytes: 8 << 20, MaxHeaderBytes: 64 << 10, DefaultDeadline: 5 * time.Minute,
-			SlowCaller: 30 * time.Second, MaxOpen: 20_000, PassWithin: 200 * time.Millisecond,
+			IOTimeout: 30 * time.Second, MaxOpen: 20_000, MaxEventDelay: 200 * time.Millisecond,
 		},
-		Backends: Backends{Idle: time.Minute, MaxAnswerBytes: 32 << 20},
+		Backends: Backends{IdleTimeout: time.Minute, MaxResponseBytes: 32 << 20},
 		Objectives: Objectives{
 			FirstToken: 1300 * time.Millisecond, BetweenTokens: 30 * time.Millisecond,
 			LatencyPercent: 95, AvailabilityPercent: 99.9, RefusalPercent: 99,
@@ -219,11 +219,11 @@
 	positive(d, s.Callers.MaxBodyBytes, "callers", "max_body_bytes")
 	positive(d, int64(s.Callers.MaxHeaderBytes), "callers", "max_header_bytes")
 	positive(d, int64(s.Callers.DefaultDeadline), "callers", "default_deadline")
-	positive(d, int64(s.Callers.SlowCaller), "callers", "slow_caller")
+	positive(d, int64(s.Callers.IOTimeout), "callers", "slow_caller")
 	positive(d, s.Callers.MaxOpen, "callers", "max_open")
-	positive(d, int64(s.Callers.PassWithin), "callers", "pass_within")
-	positive(d, int64(s.Backends.Idle), "backends", "idle")
-	positive(d, s.Backends.MaxAnswerBytes, "backends", "max_answer_bytes")
+	positive(d, int64(s.Callers.MaxEventDelay), "callers", "pass_within")
+	positive(d, int64(s.Backends.IdleTimeout), "backends", "idle")
+	positive(d, s.Backends.MaxResponseBytes, "backends", "max_answer_bytes")
 	positive(d, int64(s.DrainFor), "drain_for")
 	s.Objectives.check(d)
 	s.checkLevel(d)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -38,9 +38,9 @@
 		want     config.Change
 	}{
 		"nothing":            {"zone: a", "zone: a", config.Change{}},
-		"what can be taken":  {"extra: 54", "extra: 60", config.Change{Taken: []string{"retries"}}},
-		"what needs a start": {"zone: a", "zone: b", config.Change{Left: []string{"zone"}}},
-		"both":               {"zone: a\n", "zone: b\nlog_level: debug\n", config.Change{Taken: []string{"log_level"}, Left: []string{"zone"}}},
+		"what can be taken":  {"extra: 54", "extra: 60", config.Change{Applied: []string{"retries"}}},
+		"what needs a start": {"zone: a", "zone: b", config.Change{NeedRestart: []string{"zone"}}},
+		"both":               {"zone: a\n", "zone: b\nlog_level: debug\n", config.Change{Applied: []string{"log_level"}, NeedRestart: []string{"zone"}}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 				t.Errorf("change (-want +got):\n%s", diff)
 			}
 			merged := config.Merge(from, to)
-			if left := config.Compare(merged, to); len(left.Taken) > 0 || merged.Zone != from.Zone {
+			if left := config.Compare(merged, to); len(left.Applied) > 0 || merged.Zone != from.Zone {
 				t.Errorf("merged settings differ by %+v", left)
 			}
 		})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -104,7 +104,7 @@
 	// The line is written whether the level before or the new one allows it.
 	level := levelOf(d.settings.LogLevel)
 	d.level.Set(min(level, d.level.Level()))
-	d.log.Info("settings_reloaded", "cause", cause, "taken", change.Taken, "need_start", change.Left)
+	d.log.Info("settings_reloaded", "cause", cause, "taken", change.Applied, "need_start", change.NeedRestart)
 	d.level.Set(level)
 }
 
--- a/internal/dispatch/suspended_test.go
+++ b/internal/dispatch/suspended_test.go
@@ -26,14 +26,14 @@
 		t.Run(name, func(t *testing.T) {
 			started := time.Now()
 			var suspended atomic.Int64
-			c := clock.New(clock.WithBoot(func() (time.Duration, error) { return time.Since(started) + time.Duration(suspended.Load()), nil }))
+			c := clock.New(clock.WithBootClock(func() (time.Duration, error) { return time.Since(started) + time.Duration(suspended.Load()), nil }))
 			d, _ := startDispatcher(t, WithClock(c))
 			g, err := d.Acquire(t.Context(), front.Request{Model: "reader", Deadline: c.Now().Add(2 * time.Hour)})
 			if err != nil {
 				t.Fatal(err)
 			}
 			suspended.Store(int64(tc.duration))
-			c.Look()
+			c.CheckSuspension()
 			if got := g.MayStart(); got != tc.want {
 				t.Errorf("MayStart() = %v", got)
 			}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -16,8 +16,8 @@
 	"github.com/yarrowmast/yarrowmast/internal/logread"
 )
 
-// ErrUnknown says that no line names the request.
-var ErrUnknown = errors.New("no line names the request; are these the logs of the router that it came to, from before its end?")
+// ErrNotFound says that no line names the request.
+var ErrNotFound = errors.New("no line names the request; are these the logs of the router that it came to, from before its end?")
 
 // Events of a request.
 const (
@@ -80,7 +80,7 @@
 		}
 	}
 	if s.router == "" {
-		return nil, ErrUnknown
+		return nil, ErrNotFound
 	}
 	if s.end != nil {
 		s.arrived = beginOf(s.end)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -48,7 +48,7 @@
 			goldie.New(t).Assert(t, strings.ReplaceAll(name, " ", "-"), []byte(b.String()))
 		})
 	}
-	if err := explain.Explain(&strings.Builder{}, "nope", records(t)); !errors.Is(err, explain.ErrUnknown) {
+	if err := explain.Explain(&strings.Builder{}, "nope", records(t)); !errors.Is(err, explain.ErrNotFound) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/explain/parts.go
+++ b/internal/explain/parts.go
@@ -32,11 +32,11 @@
 	asked, begun, bestBegun, of float64
 }
 
-// Parts writes the least parts of the best served account's work that accounts got in
+// LeastServed writes the least parts of the best served account's work that accounts got in
 // any window of a length, which is a whole number of seconds, in which some request of
 // theirs was refused in every second. Requests count where they come, and for what they
 // begin where they were sent to a backend server.
-func Parts(w io.Writer, records []logread.Record, window time.Duration, most int) error {
+func LeastServed(w io.Writer, records []logread.Record, window time.Duration, most int) error {
 	slots := int(window / slot)
 	if slots < 1 || window%slot != 0 {
 		return fmt.Errorf("a window of %s cannot be counted; give whole seconds, such as 6s", window)
--- a/internal/explain/parts_test.go
+++ b/internal/explain/parts_test.go
@@ -61,7 +61,7 @@
 				}
 			}
 			var out bytes.Buffer
-			if err := explain.Parts(&out, records, 6*time.Second, 5); err != nil {
+			if err := explain.LeastServed(&out, records, 6*time.Second, 5); err != nil {
 				t.Fatal(err)
 			}
 			_, rows, _ := strings.Cut(out.String(), "\n")
@@ -74,7 +74,7 @@
 
 func TestPartsWantsWholeSeconds(t *testing.T) {
 	for _, window := range []time.Duration{0, -time.Second, 1500 * time.Millisecond} {
-		if err := explain.Parts(&bytes.Buffer{}, nil, window, 5); err == nil {
+		if err := explain.LeastServed(&bytes.Buffer{}, nil, window, 5); err == nil {
 			t.Errorf("a window of %s was taken", window)
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -29,16 +29,16 @@
 	Admin string `json:"admin"`
 }
 
-// Answer is one router's answer, or why there is none.
-type Answer[V any] struct {
+// Response is one router's answer, or why there is none.
+type Response[V any] struct {
 	Router Router `json:"router"`
 	Value  V      `json:"value"`
 	// Error is "" if the router answered.
 	Error string `json:"error,omitempty"`
 }
 
-// Listed returns the routers on the platform's list, by zone and name.
-func Listed(address string) ([]Router, error) {
+// ListRouters returns the routers on the platform's list, by zone and name.
+func ListRouters(address string) ([]Router, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
 	list, _, err := platform.New(address).WatchInstances(ctx, 0)
@@ -73,9 +73,9 @@
 	return &Client{http: &http.Client{Timeout: askTimeout, Transport: &http.Transport{TLSClientConfig: c}}, scheme: "https://"}
 }
 
-// Ask gets a path of every router's admin listener, in the routers' order.
-func Ask[V any](c *Client, routers []Router, path string) []Answer[V] {
-	answers := make([]Answer[V], len(routers))
+// Query gets a path of every router's admin listener, in the routers' order.
+func Query[V any](c *Client, routers []Router, path string) []Response[V] {
+	answers := make([]Response[V], len(routers))
 	slots := make(chan struct{}, atOnce)
 	var all sync.WaitGroup
 	for i, r := range routers {
@@ -89,8 +89,8 @@
 	return answers
 }
 
-func askOne[V any](c *Client, r Router, path string) Answer[V] {
-	a := Answer[V]{Router: r}
+func askOne[V any](c *Client, r Router, path string) Response[V] {
+	a := Response[V]{Router: r}
 	resp, err := sling.New().Client(c.http).Get(c.scheme + r.Admin + path).ReceiveSuccess(&a.Value)
 	switch {
 	case err != nil:
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// DefaultLines is how many lines are queued.
-	DefaultLines = 8192
+	// DefaultQueueSize is how many lines are queued.
+	DefaultQueueSize = 8192
 	// ordinaryPart is the part of the queue that ordinary lines may fill; the
 	// rest is kept for warnings, errors and requests that failed.
 	ordinaryPart = 0.5
@@ -52,14 +52,14 @@
 // Option changes a new Sink.
 type Option func(*Sink)
 
-// WithLines sets how many lines are queued.
-func WithLines(n int) Option { return func(s *Sink) { s.lines = make(chan *line, n) } }
+// WithQueueSize sets how many lines are queued.
+func WithQueueSize(n int) Option { return func(s *Sink) { s.lines = make(chan *line, n) } }
 
 // New returns a sink that writes lines of a level and above to out, until
 // Close.
 func New(out io.Writer, level slog.Leveler, opts ...Option) *Sink {
 	s := &Sink{
-		out: out, level: level, lines: make(chan *line, DefaultLines),
+		out: out, level: level, lines: make(chan *line, DefaultQueueSize),
 		quit: make(chan struct{}), ended: make(chan struct{}),
 	}
 	for _, f := range opts {
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -36,7 +36,7 @@
 func TestReaderThatDoesNotRead(t *testing.T) {
 	g := &gate{open: make(chan struct{})}
 	const lines = 100
-	s := logsink.New(g, slog.LevelInfo, logsink.WithLines(lines))
+	s := logsink.New(g, slog.LevelInfo, logsink.WithQueueSize(lines))
 	log := s.Logger().With("router", "a-0")
 	done := make(chan struct{})
 	go func() {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -19,55 +19,55 @@
 // The names of all metrics. docs/METRICS.md lists them with their units; a
 // test compares the two.
 const (
-	Requests       = "requests"
-	Refusals       = "refusals"
-	Tokens         = "tokens"
-	Retries        = "retries"
-	WaitSeconds    = "wait_seconds"
-	FirstSeconds   = "first_byte_seconds"
-	TotalSeconds   = "request_seconds"
-	TableRevision  = "table_revision"
-	TableChanges   = "table_changes"
-	Open           = "open_requests"
-	Leases         = "leases"
-	IdleLeases     = "idle_leases"
-	Members        = "members"
-	PeerBytesOut   = "peer_bytes_out"
-	PeerBytesIn    = "peer_bytes_in"
-	PeerMsgsOut    = "peer_messages_out"
-	PeerMsgsIn     = "peer_messages_in"
-	PeerDropped    = "peer_messages_dropped"
-	PlatformCalls  = "platform_calls"
-	Waiting        = "waiting_requests"
-	Owned          = "owned_backends"
-	Untrusted      = "untrusted_backends"
-	LeavingServers = "leaving_backends"
-	RestingServers = "resting_backends"
-	Unverified     = "unverified_seconds"
-	ClosedZones    = "closed_zones"
-	Warming        = "warming_backends"
-	Unusable       = "unusable_entries"
-	Reserved       = "reserved_headers_dropped"
-	Connections    = "caller_connections"
-	Resting        = "idle_caller_connections"
-	RefusedConns   = "caller_connections_refused"
-	EvictedConns   = "caller_connections_evicted"
-	Passed         = "stream_events_passed"
-	Sends          = "caller_sends"
-	Screened       = "refused_unseen"
-	Processor      = "processor_seconds"
-	Late           = "late_seconds"
-	Events         = "events"
+	Requests           = "requests"
+	Refusals           = "refusals"
+	Tokens             = "tokens"
+	Retries            = "retries"
+	WaitSeconds        = "wait_seconds"
+	FirstByteSeconds   = "first_byte_seconds"
+	RequestSeconds     = "request_seconds"
+	TableRevision      = "table_revision"
+	TableChanges       = "table_changes"
+	OpenRequests       = "open_requests"
+	Leases             = "leases"
+	IdleLeases         = "idle_leases"
+	Members            = "members"
+	PeerBytesOut       = "peer_bytes_out"
+	PeerBytesIn        = "peer_bytes_in"
+	PeerMsgsOut        = "peer_messages_out"
+	PeerMsgsIn         = "peer_messages_in"
+	PeerDropped        = "peer_messages_dropped"
+	PlatformCalls      = "platform_calls"
+	WaitingRequests    = "waiting_requests"
+	OwnedServers       = "owned_backends"
+	EjectedServers     = "untrusted_backends"
+	LeavingServers     = "leaving_backends"
+	BackingOffServers  = "resting_backends"
+	UnverifiedSeconds  = "unverified_seconds"
+	ClosedZones        = "closed_zones"
+	WarmingServers     = "warming_backends"
+	UnusableEntries    = "unusable_entries"
+	ReservedHeaders    = "reserved_headers_dropped"
+	Connections        = "caller_connections"
+	IdleConnections    = "idle_caller_connections"
+	RefusedConnections = "caller_connections_refused"
+	EvictedConnections = "caller_connections_evicted"
+	StreamEvents       = "stream_events_passed"
+	CallerWrites       = "caller_sends"
+	RefusedEarly       = "refused_unseen"
+	ProcessorSeconds   = "processor_seconds"
+	LagSeconds         = "late_seconds"
+	Events             = "events"
 )
 
 // Names lists every name.
 func Names() []string {
 	return []string{
-		Requests, Refusals, Tokens, Retries, WaitSeconds, FirstSeconds, TotalSeconds, TableRevision,
-		TableChanges, Open, Leases, IdleLeases, Members, PeerBytesOut, PeerBytesIn, PeerMsgsOut,
-		PeerMsgsIn, PeerDropped, PlatformCalls, Waiting, Owned, Untrusted, LeavingServers, RestingServers, Unverified, ClosedZones, Warming, Unusable, Reserved,
-		Connections, Resting, RefusedConns, EvictedConns, Passed, Sends, Screened, Processor,
-		Late, Events,
+		Requests, Refusals, Tokens, Retries, WaitSeconds, FirstByteSeconds, RequestSeconds, TableRevision,
+		TableChanges, OpenRequests, Leases, IdleLeases, Members, PeerBytesOut, PeerBytesIn, PeerMsgsOut,
+		PeerMsgsIn, PeerDropped, PlatformCalls, WaitingRequests, OwnedServers, EjectedServers, LeavingServers, BackingOffServers, UnverifiedSeconds, ClosedZones, WarmingServers, UnusableEntries, ReservedHeaders,
+		Connections, IdleConnections, RefusedConnections, EvictedConnections, StreamEvents, CallerWrites, RefusedEarly, ProcessorSeconds,
+		LagSeconds, Events,
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 	return &Metrics{
 		scope: scope, handler: reporter.HTTPHandler(), closer: closer, accounts: map[string]bool{}, series: map[labels]*series{},
-		wait: scope.Histogram(WaitSeconds, buckets), total: scope.Histogram(TotalSeconds, buckets), first: scope.Histogram(FirstSeconds, buckets),
+		wait: scope.Histogram(WaitSeconds, buckets), total: scope.Histogram(RequestSeconds, buckets), first: scope.Histogram(FirstByteSeconds, buckets),
 	}, nil
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -168,7 +168,7 @@
 	n.burn = burn.New(s.Name, s.Objectives)
 	incarnation := uint64(o.wallClock().UnixNano())
 	backendOpts := []backend.Option{
-		backend.WithDialer(o.dialer), backend.WithIdleTimeout(s.Backends.Idle), backend.WithMaxResponse(s.Backends.MaxAnswerBytes), backend.WithClock(n.clock),
+		backend.WithDialer(o.dialer), backend.WithIdleTimeout(s.Backends.IdleTimeout), backend.WithMaxResponse(s.Backends.MaxResponseBytes), backend.WithClock(n.clock),
 	}
 	frontOpts := []front.Option{
 		front.WithCallerLimits(callerLimits(s)), front.WithTLS(t.callers), front.WithLogger(n.log),
@@ -236,7 +236,7 @@
 const forwardedBatchShare = 0.25
 
 func (n *Node) forwardedBatchDelay() time.Duration {
-	return time.Duration(forwardedBatchShare * float64(n.Settings.Callers.PassWithin))
+	return time.Duration(forwardedBatchShare * float64(n.Settings.Callers.MaxEventDelay))
 }
 
 func (n *Node) peerOptions(o options, t tlsConfigs) []peer.Option {
@@ -306,8 +306,8 @@
 func callerLimits(s config.Settings) front.CallerLimits {
 	return front.CallerLimits{
 		MaxBody: s.Callers.MaxBodyBytes, MaxHeader: s.Callers.MaxHeaderBytes, Deadline: s.Callers.DefaultDeadline,
-		IOTimeout: s.Callers.SlowCaller, MaxOpen: s.Callers.MaxOpen, MaxConnections: maxConnections(s.Machine),
-		MaxEventDelay: s.Callers.PassWithin,
+		IOTimeout: s.Callers.IOTimeout, MaxOpen: s.Callers.MaxOpen, MaxConnections: maxConnections(s.Machine),
+		MaxEventDelay: s.Callers.MaxEventDelay,
 	}
 }
 
@@ -346,7 +346,7 @@
 // drain notice, so that load balancers stop sending requests. Then it refuses new requests,
 // returns leases and waits for open requests until ctx is done.
 func (n *Node) Stop(ctx context.Context) error {
-	n.admin.Leave()
+	n.admin.MarkNotReady()
 	n.Front.DisableKeepAlives()
 	n.log.Info("router_leaving", "notice_ms", n.currentDrainNotice().Milliseconds())
 	n.clock.Sleep(ctx, n.currentDrainNotice())
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -112,17 +112,17 @@
 	p := n.Peers.Counters()
 	callers := n.Front.Connections()
 	n.setGauges(map[string]int64{
-		metrics.Open:         n.Front.OpenRequests(),
-		metrics.Reserved:     n.Front.ReservedDropped(),
-		metrics.Connections:  int64(callers.Open),
-		metrics.Resting:      int64(callers.Idle),
-		metrics.RefusedConns: callers.Refused,
-		metrics.EvictedConns: callers.Evicted,
-		metrics.PeerBytesOut: p.BytesOut.Load(),
-		metrics.PeerBytesIn:  p.BytesIn.Load(),
-		metrics.PeerMsgsOut:  p.MessagesOut.Load(),
-		metrics.PeerMsgsIn:   p.MessagesIn.Load(),
-		metrics.PeerDropped:  p.Dropped.Load(),
+		metrics.OpenRequests:       n.Front.OpenRequests(),
+		metrics.ReservedHeaders:    n.Front.ReservedDropped(),
+		metrics.Connections:        int64(callers.Open),
+		metrics.IdleConnections:    int64(callers.Idle),
+		metrics.RefusedConnections: callers.Refused,
+		metrics.EvictedConnections: callers.Evicted,
+		metrics.PeerBytesOut:       p.BytesOut.Load(),
+		metrics.PeerBytesIn:        p.BytesIn.Load(),
+		metrics.PeerMsgsOut:        p.MessagesOut.Load(),
+		metrics.PeerMsgsIn:         p.MessagesIn.Load(),
+		metrics.PeerDropped:        p.Dropped.Load(),
 	})
 	if n.Router != nil {
 		n.updateRouterGauges()
@@ -148,18 +148,18 @@
 func (n *Node) updateDispatchGauges() {
 	s := n.Dispatch.Status()
 	n.setGauges(map[string]int64{
-		metrics.Members:        int64(len(s.Live) + 1),
-		metrics.PlatformCalls:  s.Calls,
-		metrics.TableRevision:  int64(s.Table),
-		metrics.Waiting:        int64(s.Waiting),
-		metrics.Owned:          int64(len(s.Owned)),
-		metrics.Untrusted:      int64(len(s.Untrusted)),
-		metrics.LeavingServers: int64(len(s.Leaving)),
-		metrics.RestingServers: int64(len(s.BackingOff)),
-		metrics.ClosedZones:    int64(len(s.ClosedZones)),
-		metrics.Warming:        int64(s.Warming),
-		metrics.Unverified:     s.VerifiedMillisAgo / time.Second.Milliseconds(),
-		metrics.Unusable:       int64(s.UnusableCount),
+		metrics.Members:           int64(len(s.Live) + 1),
+		metrics.PlatformCalls:     s.Calls,
+		metrics.TableRevision:     int64(s.Table),
+		metrics.WaitingRequests:   int64(s.Waiting),
+		metrics.OwnedServers:      int64(len(s.Owned)),
+		metrics.EjectedServers:    int64(len(s.Untrusted)),
+		metrics.LeavingServers:    int64(len(s.Leaving)),
+		metrics.BackingOffServers: int64(len(s.BackingOff)),
+		metrics.ClosedZones:       int64(len(s.ClosedZones)),
+		metrics.WarmingServers:    int64(s.Warming),
+		metrics.UnverifiedSeconds: s.VerifiedMillisAgo / time.Second.Milliseconds(),
+		metrics.UnusableEntries:   int64(s.UnusableCount),
 	})
 	for reason, total := range s.UnusableTotal {
 		n.metrics.Event("unusable_"+string(reason), total)
--- a/internal/node/work.go
+++ b/internal/node/work.go
@@ -41,10 +41,10 @@
 	now, before, load := n.currentWork(), n.lastWork, n.Dispatch.LoadStats()
 	n.lastWork = now
 	n.setGauges(map[string]int64{
-		metrics.Passed: now.events, metrics.Sends: now.flushes, metrics.Screened: now.refusedEarly,
+		metrics.StreamEvents: now.events, metrics.CallerWrites: now.flushes, metrics.RefusedEarly: now.refusedEarly,
 	})
-	n.metrics.Gauge(metrics.Processor, now.processorTime.Seconds())
-	n.metrics.Gauge(metrics.Late, load.Lag.Seconds())
+	n.metrics.Gauge(metrics.ProcessorSeconds, now.processorTime.Seconds())
+	n.metrics.Gauge(metrics.LagSeconds, load.Lag.Seconds())
 	if load.AdmitRatio >= 1 {
 		return
 	}
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -18,8 +18,8 @@
 // checkEvery is how often the files' times are looked at, at most.
 const checkEvery = time.Second
 
-// ErrNoAuthority is returned for an authority's file without a certificate.
-var ErrNoAuthority = errors.New("tlsconf: the authority's file holds no certificate")
+// ErrNoCACertificate is returned for an authority's file without a certificate.
+var ErrNoCACertificate = errors.New("tlsconf: the authority's file holds no certificate")
 
 // source is a key pair on disk and its last good reading.
 type source struct {
@@ -84,7 +84,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, ErrNoAuthority
+		return nil, ErrNoCACertificate
 	}
 	return pool, nil
 }
