--- a/cmd/yarrowctl/cmd_capacity.go
+++ b/cmd/yarrowctl/cmd_capacity.go
@@ -43,5 +43,5 @@
 	if err != nil {
 		return err
 	}
-	return capacity.PrintTable(c.Out, capacity.Design(), s)
+	return capacity.PrintTable(c.Out, capacity.DesignTarget(), s)
 }
--- a/cmd/yarrowctl/cmd_measure.go
+++ b/cmd/yarrowctl/cmd_measure.go
@@ -63,7 +63,7 @@
 		if err := r.PrintJSON(c.Out); err != nil {
 			return err
 		}
-		if broken := r.Broken(); len(broken) > 0 && strings.HasPrefix(policy, measure.PolicyFleet) {
+		if broken := r.Violations(); len(broken) > 0 && strings.HasPrefix(policy, measure.PolicyFleet) {
 			_, _ = fmt.Fprintf(c.Err, "broken: %s\n", strings.Join(broken, ", "))
 			bad = true
 		}
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -116,7 +116,7 @@
 }
 
 func (l load) reader() Role {
-	rows := l.Accounts + l.Workers
+	rows := l.Accounts + l.Backends
 	r := Role{
 		Name:      "table reader",
 		State:     fmt.Sprintf("%.0f rows, the last 64 changes", rows),
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -13,7 +13,7 @@
 // Target is the size of a fleet.
 type Target struct {
 	Nodes             float64
-	Workers           float64
+	Backends          float64
 	Zones             float64
 	Models            float64
 	Accounts          float64
@@ -36,13 +36,13 @@
 	ModelZonesPerNode float64
 }
 
-// Design is the size that decides the design. The share of keyed requests and
+// DesignTarget is the size that decides the design. The share of keyed requests and
 // of leases lent between zones are assumptions: the first is a guess, the
 // second is what the ramdin scenario measured.
-func Design() Target {
+func DesignTarget() Target {
 	const zones = 14
 	t := Target{
-		Nodes: 400, Workers: 1800, Zones: zones, Models: 38, Accounts: 3600, Backlogged: 360,
+		Nodes: 400, Backends: 1800, Zones: zones, Models: 38, Accounts: 3600, Backlogged: 360,
 		RequestsPerSec: 6500, TokensPerSec: 1.7e6, SecondsPerToken: 0.030,
 		ChangesPerDay: 1600, FailuresPerDay: 42, RestartsPerDay: 270,
 		KeyedShare: 0.1, LentShare: 0.45, PlatformPerSec: 2000,
--- a/internal/measure/cluster.go
+++ b/internal/measure/cluster.go
@@ -47,8 +47,8 @@
 type cluster struct {
 	scenario *Scenario
 	policy   string
-	judge    *judge.Judge
-	fabric   *fabric.Fabric
+	judge    *judge.Recorder
+	fabric   *fabric.Network
 	platform *platform.Platform
 	address  string
 	engines  map[string]*engine.Engine
@@ -100,10 +100,10 @@
 			}
 			c.judge.AddServer(judge.Server{Name: b.Name, Model: b.Model, Zone: z.Name, Slots: b.Slots})
 			c.engines[b.Name] = engine.Start(engine.Config{
-				Name: b.Name, Slots: b.Slots, TokensPerSecond: b.TokensPerSecond, Step: engineStep, LoadLag: loadLag, Judge: c.judge,
+				Name: b.Name, Slots: b.Slots, TokensPerSecond: b.TokensPerSecond, ChunkInterval: engineStep, LoadLag: loadLag, Recorder: c.judge,
 			}, ln)
 			address := ln.Addr().String()
-			c.fabric.Place(address, z.Name, b.Name)
+			c.fabric.Register(address, z.Name, b.Name)
 			c.table.Backends = append(c.table.Backends, table.Backend{
 				Name: b.Name, Zone: z.Name, Address: address, Kind: table.Engine, Models: []string{b.Model},
 				Slots: b.Slots, Mark: table.Serving,
@@ -177,7 +177,7 @@
 		go c.versions.follow(name, n.Dispatch)
 	}
 	for _, a := range []string{s.Listen.Callers, s.Listen.Peers, s.Listen.Admin} {
-		c.fabric.Place(a, zone, name)
+		c.fabric.Register(a, zone, name)
 	}
 	return nil
 }
--- a/internal/measure/faults.go
+++ b/internal/measure/faults.go
@@ -149,8 +149,8 @@
 	case "partition":
 		set := func(on bool) {
 			st.set(st.cut, f.Target, on)
-			c.fabric.Cut(f.Target, on)
-			c.judge.Cut(f.Target, on)
+			c.fabric.SetPartitioned(f.Target, on)
+			c.judge.SetPartitioned(f.Target, on)
 		}
 		set(true)
 		return func() {
@@ -191,11 +191,11 @@
 		return func() {}
 	}
 	c.state.set(c.state.away, name, true)
-	c.fabric.Freeze(name, true)
+	c.fabric.SetPaused(name, true)
 	thaw := freeze(n)
 	return func() {
 		thaw()
-		c.fabric.Freeze(name, false)
+		c.fabric.SetPaused(name, false)
 		c.state.set(c.state.away, name, false)
 	}
 }
@@ -221,7 +221,7 @@
 	zone := c.zoneOfBackend(name)
 	c.versions.publish(c)
 	if !c.state.get(c.state.cut, zone) {
-		c.judge.Close(name)
+		c.judge.MarkDraining(name)
 	}
 	return func() {}
 }
@@ -240,7 +240,7 @@
 func (c *cluster) closeMarked(zone string) {
 	for _, b := range c.table.Backends {
 		if b.Zone == zone && c.state.get(c.state.marked, b.Name) {
-			c.judge.Close(b.Name)
+			c.judge.MarkDraining(b.Name)
 		}
 	}
 }
--- a/internal/measure/load.go
+++ b/internal/measure/load.go
@@ -178,13 +178,13 @@
 	l.tally.sizes(tokens)
 	zone := l.c.zoneOf(name)
 	once := g.account.Repeatable != nil && !*g.account.Repeatable
-	l.c.judge.Sent(id, judge.Request{Account: g.account.Name, Model: g.account.Model, Zone: zone, Once: once})
+	l.c.judge.RequestSent(id, judge.Request{Account: g.account.Name, Model: g.account.Model, Zone: zone, NotRepeatable: once})
 	end, code := g.exchange(ask{
 		Model: g.account.Model, Stream: true, Prompt: l.prompt(g.account.Name, prefix), ID: id, Tokens: tokens, Prefix: prefix,
 	}, name, zone, once)
-	l.c.judge.Ended(id)
+	l.c.judge.RequestEnded(id)
 	l.tally.end(g.account.Name, end, code)
-	if end == refusedNotRun && l.c.judge.Ran(id) > 0 {
+	if end == refusedNotRun && l.c.judge.Runs(id) > 0 {
 		l.tally.ranAfterNotRun()
 	}
 	if end != answered {
--- a/internal/measure/print.go
+++ b/internal/measure/print.go
@@ -20,10 +20,10 @@
 		if total[a.Model] > 0 {
 			share = 100 * a.Tokens / total[a.Model]
 		}
-		_, _ = fmt.Fprintf(t, "%s\t%s\t%g\t%d\t%d\t%d\t%.0f\t%.1f%%\n", a.Name, a.Model, a.Weight, a.Answered, a.Refused, a.Doubtful, a.Tokens, share)
+		_, _ = fmt.Fprintf(t, "%s\t%s\t%g\t%d\t%d\t%d\t%.0f\t%.1f%%\n", a.Name, a.Model, a.Weight, a.Answered, a.Refused, a.MayHaveRun, a.Tokens, share)
 	}
 	_ = t.Flush()
-	_, _ = fmt.Fprintf(w, "largest fairness gap: %.0f tokens, %s\n", r.FairnessGap, r.GapWhere)
+	_, _ = fmt.Fprintf(w, "largest fairness gap: %.0f tokens, %s\n", r.FairnessGap, r.GapDescription)
 }
 
 // PrintJSON writes the report on one line.
--- a/internal/measure/run.go
+++ b/internal/measure/run.go
@@ -47,25 +47,25 @@
 	PrefixHits float64 `json:"prefix_hits"`
 	// Owners counts what the owners of pools did.
 	Owners pool.Stats `json:"owners"`
-	// GapWhere names the pair of accounts and the window of the gap.
-	GapWhere string `json:"-"`
+	// GapDescription names the pair of accounts and the window of the gap.
+	GapDescription string `json:"-"`
 	// Accounts is answers, refusals and tokens by account, for people.
 	Accounts []AccountReport `json:"-"`
 }
 
 // AccountReport is one row of the table for people.
 type AccountReport struct {
-	Name     string
-	Model    string
-	Weight   float64
-	Answered int
-	Refused  int
-	Doubtful int
-	Tokens   float64
+	Name       string
+	Model      string
+	Weight     float64
+	Answered   int
+	Refused    int
+	MayHaveRun int
+	Tokens     float64
 }
 
-// Broken names the counts that should be 0 and are not.
-func (r *Report) Broken() []string {
+// Violations names the counts that should be 0 and are not.
+func (r *Report) Violations() []string {
 	var broken []string
 	for name, n := range map[string]int{
 		"unanswered": r.Unanswered, "mixed_answers": r.MixedAnswers, "ran_after_not_run": r.RanAfterNotRun,
@@ -119,7 +119,7 @@
 	l := newLoad(c)
 	l.start()
 	time.Sleep(warmUp)
-	c.judge.Count(true)
+	c.judge.SetRecording(true)
 	before, calls := c.control(), c.platform.Calls()
 	done := make(chan struct{})
 	var faults sync.WaitGroup
@@ -127,7 +127,7 @@
 		faults.Go(func() { c.inject(f, done) })
 	}
 	tick(s.Duration, progress, l)
-	c.judge.Count(false)
+	c.judge.SetRecording(false)
 	after, callsAfter := c.control(), c.platform.Calls()
 	close(done)
 	faults.Wait()
@@ -149,7 +149,7 @@
 	var busyBefore, availableBefore float64
 	for passed := time.Duration(0); passed < d; passed += every {
 		time.Sleep(min(every, d-passed))
-		busy, available := l.c.judge.Slots()
+		busy, available := l.c.judge.SlotSeconds()
 		l.tally.mu.Lock()
 		progress(fmt.Sprintf("%s: %d answered, %d refused as not run, %d in doubt, %.1f%% of slots busy while work waits", min(passed+every, d),
 			l.tally.ends[answered], l.tally.ends[refusedNotRun], l.tally.ends[mayHaveRun], 100*part(busy-busyBefore, available-availableBefore)))
@@ -167,11 +167,11 @@
 }
 
 func (c *cluster) report(l *load) *Report {
-	s, t, f := c.scenario, l.tally, c.judge.Find()
+	s, t, f := c.scenario, l.tally, c.judge.Result()
 	w := s.fairness(f.Points)
 	r := &Report{
-		GapWhere: fmt.Sprintf("%s, between %.1f s and %.1f s", w.accounts, w.from.Seconds(), w.to.Seconds()),
-		Scenario: s.Name, Seed: s.Seed,
+		GapDescription: fmt.Sprintf("%s, between %.1f s and %.1f s", w.accounts, w.from.Seconds(), w.to.Seconds()),
+		Scenario:       s.Name, Seed: s.Seed,
 		Answered: t.ends[answered], RefusedNotRun: t.ends[refusedNotRun], MayHaveRun: t.ends[mayHaveRun], Unanswered: t.ends[unanswered],
 		MixedAnswers: t.mixed, RanAfterNotRun: t.ranOff, RunTwice: f.RunTwice,
 		FairnessGap: round(w.gap), MinShare: round(s.minShare(f.Points)),
@@ -187,7 +187,7 @@
 	}
 	hits, all := 0, 0
 	for _, e := range c.engines {
-		h, m := e.Cache()
+		h, m := e.CacheStats()
 		hits += h
 		all += h + m
 	}
@@ -196,7 +196,7 @@
 		by := t.byName[a.Name]
 		r.Accounts = append(r.Accounts, AccountReport{
 			Name: a.Name, Model: a.Model, Weight: a.Weight, Answered: by[answered], Refused: by[refusedNotRun],
-			Doubtful: by[mayHaveRun] + by[unanswered], Tokens: got(f.Points[a.Name]),
+			MayHaveRun: by[mayHaveRun] + by[unanswered], Tokens: got(f.Points[a.Name]),
 		})
 	}
 	return r
--- a/internal/measure/run_test.go
+++ b/internal/measure/run_test.go
@@ -34,7 +34,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if broken := r.Broken(); len(broken) > 0 {
+			if broken := r.Violations(); len(broken) > 0 {
 				t.Errorf("broken: %v", broken)
 			}
 			if r.Answered == 0 || r.Requests != r.Answered+r.RefusedNotRun+r.MayHaveRun {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -45,7 +45,7 @@
 	engineLn, direct := listen(b)
 	verifier := judge.New()
 	verifier.AddServer(judge.Server{Name: "s", Slots: benchSlots})
-	e := engine.Start(engine.Config{Name: "s", Slots: benchSlots, TokensPerSecond: rate, Step: time.Nanosecond, Judge: verifier}, engineLn)
+	e := engine.Start(engine.Config{Name: "s", Slots: benchSlots, TokensPerSecond: rate, ChunkInterval: time.Nanosecond, Recorder: verifier}, engineLn)
 	platformLn, platformAddress := listen(b)
 	p := platform.Start(platformLn)
 	sum := sha256.Sum256([]byte("key"))
--- a/standin/cmd/standin/main.go
+++ b/standin/cmd/standin/main.go
@@ -114,7 +114,7 @@
 			return err
 		}
 		j.AddServer(judge.Server{Name: b.Name, Model: b.Models[0], Zone: b.Zone, Slots: b.Slots})
-		engine.Start(engine.Config{Name: b.Name, Slots: b.Slots, TokensPerSecond: tokensPerSecond, Step: step, Judge: j}, ln)
+		engine.Start(engine.Config{Name: b.Name, Slots: b.Slots, TokensPerSecond: tokensPerSecond, ChunkInterval: step, Recorder: j}, ln)
 	}
 	return nil
 }
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -24,15 +24,15 @@
 	Slots int
 	// TokensPerSecond is the rate of each slot.
 	TokensPerSecond float64
-	// Step is the time between two chunks.
-	Step time.Duration
+	// ChunkInterval is the time between two chunks.
+	ChunkInterval time.Duration
 	// LoadLag is how old the reported load is.
-	LoadLag time.Duration
-	Judge   *judge.Judge
+	LoadLag  time.Duration
+	Recorder *judge.Recorder
 }
 
-// Ask is what the stand-in reads of a request's body.
-type Ask struct {
+// RequestBody is what the stand-in reads of a request's body.
+type RequestBody struct {
 	// ID is the caller's own id of the request, repeated in every chunk.
 	ID string `json:"load_id"`
 	// Tokens is how long the answer is; the routers do not read it.
@@ -88,8 +88,8 @@
 	return false
 }
 
-// Cache returns how many prefixes were found and how many were not.
-func (e *Engine) Cache() (hits, misses int) {
+// CacheStats returns how many prefixes were found and how many were not.
+func (e *Engine) CacheStats() (hits, misses int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.hits, e.misses
@@ -127,21 +127,21 @@
 	e.inFlight += n
 	e.mu.Unlock()
 	if n > 0 {
-		e.cfg.Judge.Arrived(e.cfg.Name)
+		e.cfg.Recorder.RequestArrived(e.cfg.Name)
 	} else {
-		e.cfg.Judge.Left(e.cfg.Name)
+		e.cfg.Recorder.RequestLeft(e.cfg.Name)
 	}
 }
 
-func (e *Engine) read(w http.ResponseWriter, r *http.Request) (Ask, bool) {
+func (e *Engine) read(w http.ResponseWriter, r *http.Request) (RequestBody, bool) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return Ask{}, false
+		return RequestBody{}, false
 	}
-	var ask Ask
+	var ask RequestBody
 	if err := json.Unmarshal(body, &ask); err != nil {
 		http.Error(w, "bad json", http.StatusBadRequest)
-		return Ask{}, false
+		return RequestBody{}, false
 	}
 	return ask, true
 }
@@ -172,7 +172,7 @@
 		return
 	}
 	defer func() { <-e.slots }()
-	e.cfg.Judge.Began(ask.ID)
+	e.cfg.Recorder.RequestStarted(ask.ID)
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	account, _, _ := strings.Cut(ask.ID, ".")
 	if ask.Prefix > 0 && !e.lookUp(fmt.Sprint(account, ask.Prefix)) {
@@ -190,10 +190,10 @@
 }
 
 // step is how many tokens a slot makes in one step.
-func (e *Engine) step() float64 { return e.cfg.TokensPerSecond * e.cfg.Step.Seconds() }
+func (e *Engine) step() float64 { return e.cfg.TokensPerSecond * e.cfg.ChunkInterval.Seconds() }
 
 // produce calls emit with the tokens of each step until the answer is whole.
-func (e *Engine) produce(ctx context.Context, ask Ask, emit func(sum int) bool) {
+func (e *Engine) produce(ctx context.Context, ask RequestBody, emit func(sum int) bool) {
 	begun := time.Now()
 	sum := 0
 	if ask.Tokens == 0 {
@@ -208,7 +208,7 @@
 		}
 		n := e.chunk(sum, ask.Tokens)
 		sum += n
-		e.cfg.Judge.Served(ask.ID, n)
+		e.cfg.Recorder.TokensServed(ask.ID, n)
 		if !emit(sum) {
 			return
 		}
@@ -219,7 +219,7 @@
 	return min(max(1, int(e.step())), all-sum)
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, ask Ask) {
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, ask RequestBody) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Trailer", "X-Engine-Tokens")
 	flush := http.NewResponseController(w)
@@ -233,7 +233,7 @@
 		return err == nil
 	})
 	if r.Context().Err() != nil {
-		e.cfg.Judge.CutShort(e.cfg.Name)
+		e.cfg.Recorder.StreamCut(e.cfg.Name)
 		return
 	}
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
@@ -244,7 +244,7 @@
 }
 
 // spoil sends a bad part of an answer; it reports whether the stream goes on.
-func (e *Engine) spoil(w http.ResponseWriter, ask Ask) bool {
+func (e *Engine) spoil(w http.ResponseWriter, ask RequestBody) bool {
 	switch ask.Fault {
 	case "garbage":
 		_, _ = io.WriteString(w, "\x00\x01 not an event\n\n")
@@ -259,7 +259,7 @@
 	return true
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, ask Ask) {
+func (e *Engine) whole(w http.ResponseWriter, r *http.Request, ask RequestBody) {
 	e.produce(r.Context(), ask, func(int) bool { return true })
 	if r.Context().Err() != nil {
 		return
@@ -281,7 +281,7 @@
 		return
 	}
 	defer func() { <-e.slots }()
-	e.cfg.Judge.Began(r.Header.Get("X-Load-Id"))
+	e.cfg.Recorder.RequestStarted(r.Header.Get("X-Load-Id"))
 	w.Header().Set("X-Echo-Method", r.Method)
 	w.Header().Set("X-Echo-Path", r.URL.RequestURI())
 	_, _ = w.Write(body)
--- a/standin/fabric/fabric.go
+++ b/standin/fabric/fabric.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Fabric knows where every address stands.
-type Fabric struct {
+// Network knows where every address stands.
+type Network struct {
 	delay time.Duration
 
 	mu     sync.Mutex
@@ -24,29 +24,29 @@
 }
 
 // New returns a network whose zones are delay apart, one way.
-func New(delay time.Duration) *Fabric {
-	return &Fabric{
+func New(delay time.Duration) *Network {
+	return &Network{
 		delay: delay, zones: map[string]string{}, owners: map[string]string{},
 		cut: map[string]bool{}, frozen: map[string]bool{}, change: make(chan struct{}),
 	}
 }
 
-// Place says in which zone an address stands and whose it is.
-func (f *Fabric) Place(address, zone, owner string) {
+// Register says in which zone an address stands and whose it is.
+func (f *Network) Register(address, zone, owner string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.zones[address] = zone
 	f.owners[address] = owner
 }
 
-// Cut cuts a zone off from the others, or joins it again. What was under way
+// SetPartitioned cuts a zone off from the others, or joins it again. What was under way
 // arrives late.
-func (f *Fabric) Cut(zone string, cut bool) { f.set(f.cut, zone, cut) }
+func (f *Network) SetPartitioned(zone string, cut bool) { f.set(f.cut, zone, cut) }
 
-// Freeze stops all traffic of a process, or lets it go on.
-func (f *Fabric) Freeze(owner string, frozen bool) { f.set(f.frozen, owner, frozen) }
+// SetPaused stops all traffic of a process, or lets it go on.
+func (f *Network) SetPaused(owner string, frozen bool) { f.set(f.frozen, owner, frozen) }
 
-func (f *Fabric) set(m map[string]bool, key string, v bool) {
+func (f *Network) set(m map[string]bool, key string, v bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m[key] = v
@@ -56,13 +56,13 @@
 
 // Dialer opens connections from a process in a zone.
 type Dialer struct {
-	fabric *Fabric
+	fabric *Network
 	zone   string
 	owner  string
 }
 
 // Dialer returns the dialer of a process.
-func (f *Fabric) Dialer(zone, owner string) *Dialer {
+func (f *Network) Dialer(zone, owner string) *Dialer {
 	return &Dialer{fabric: f, zone: zone, owner: owner}
 }
 
@@ -71,7 +71,7 @@
 
 // link is one connection's place in the fabric.
 type link struct {
-	fabric           *Fabric
+	fabric           *Network
 	zone, peerZone   string
 	owner, peerOwner string
 }
--- a/standin/judge/judge.go
+++ b/standin/judge/judge.go
@@ -14,8 +14,8 @@
 	Model   string
 	// Zone is the availability zone of the router it was sent to.
 	Zone string
-	// Once says that it must not run twice.
-	Once bool
+	// NotRepeatable says that it must not run twice.
+	NotRepeatable bool
 	// Runs is how often a stand-in began it.
 	Runs  int
 	ended bool
@@ -28,13 +28,13 @@
 	Zone  string
 	Slots int
 	// InFlight is what runs or queues there now, Most the greatest ever.
-	InFlight int
-	Most     int
-	// Closed says that operators marked it leaving or stopping.
-	Closed bool
-	// ClosedAt and LastStart give how long new work went on coming.
-	ClosedAt  time.Time
-	LastStart time.Time
+	InFlight    int
+	MaxInFlight int
+	// Draining says that operators marked it leaving or stopping.
+	Draining bool
+	// DrainingSince and LastStart give how long new work went on coming.
+	DrainingSince time.Time
+	LastArrival   time.Time
 }
 
 // Point is an account's state at a moment: its cumulative service and whether
@@ -45,8 +45,8 @@
 	Waiting bool
 }
 
-// Judge is safe for concurrent use.
-type Judge struct {
+// Recorder is safe for concurrent use.
+type Recorder struct {
 	mu       sync.Mutex
 	start    time.Time
 	requests map[string]*Request
@@ -68,9 +68,9 @@
 type place struct{ model, zone string }
 
 // New returns a judge that counts nothing until Count is called.
-func New() *Judge {
+func New() *Recorder {
 	now := time.Now()
-	return &Judge{
+	return &Recorder{
 		start: now, last: now,
 		requests: map[string]*Request{}, servers: map[string]*Server{}, waiting: map[place]int{},
 		accounts: map[string]int{}, served: map[string]float64{}, points: map[string][]Point{}, cut: map[string]bool{},
@@ -78,44 +78,44 @@
 }
 
 // AddServer makes a backend server known.
-func (j *Judge) AddServer(s Server) {
+func (j *Recorder) AddServer(s Server) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.servers[s.Name] = &s
 }
 
-// Count starts or ends the time that is measured.
-func (j *Judge) Count(on bool) {
+// SetRecording starts or ends the time that is measured.
+func (j *Recorder) SetRecording(on bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.advance()
 	j.counting = on
 }
 
-// Cut says whether a zone is cut off from the others.
-func (j *Judge) Cut(zone string, cut bool) {
+// SetPartitioned says whether a zone is cut off from the others.
+func (j *Recorder) SetPartitioned(zone string, cut bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.advance()
 	j.cut[zone] = cut
 }
 
-// Close says that operators marked a backend server leaving or stopping.
-func (j *Judge) Close(server string) {
+// MarkDraining says that operators marked a backend server leaving or stopping.
+func (j *Recorder) MarkDraining(server string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.advance()
 	s := j.servers[server]
-	if s.Closed {
+	if s.Draining {
 		return
 	}
-	s.Closed = true
-	s.ClosedAt = time.Now()
-	s.LastStart = s.ClosedAt
+	s.Draining = true
+	s.DrainingSince = time.Now()
+	s.LastArrival = s.DrainingSince
 }
 
-// Sent says that a caller sent a request.
-func (j *Judge) Sent(id string, r Request) {
+// RequestSent says that a caller sent a request.
+func (j *Recorder) RequestSent(id string, r Request) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.advance()
@@ -123,8 +123,8 @@
 	j.wait(&r, 1)
 }
 
-// Ended says that the caller has its answer, whatever it is.
-func (j *Judge) Ended(id string) {
+// RequestEnded says that the caller has its answer, whatever it is.
+func (j *Recorder) RequestEnded(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.advance()
@@ -137,21 +137,21 @@
 	}
 }
 
-// Arrived says that a request reached a backend server.
-func (j *Judge) Arrived(server string) {
+// RequestArrived says that a request reached a backend server.
+func (j *Recorder) RequestArrived(server string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.advance()
 	s := j.servers[server]
 	s.InFlight++
-	s.LastStart = time.Now()
+	s.LastArrival = time.Now()
 	if j.counting {
-		s.Most = max(s.Most, s.InFlight)
+		s.MaxInFlight = max(s.MaxInFlight, s.InFlight)
 	}
 }
 
-// Began says that a backend server began a request.
-func (j *Judge) Began(id string) {
+// RequestStarted says that a backend server began a request.
+func (j *Recorder) RequestStarted(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.advance()
@@ -165,8 +165,8 @@
 	}
 }
 
-// Served says that a request was served tokens.
-func (j *Judge) Served(id string, tokens int) {
+// TokensServed says that a request was served tokens.
+func (j *Recorder) TokensServed(id string, tokens int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.requests[id]
@@ -177,31 +177,31 @@
 	j.point(r.Account)
 }
 
-// CutShort says that a request's stream ended before its end. It counts if
+// StreamCut says that a request's stream ended before its end. It counts if
 // the backend server was marked for a planned stop.
-func (j *Judge) CutShort(server string) {
+func (j *Recorder) StreamCut(server string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.servers[server].Closed {
+	if j.servers[server].Draining {
 		j.cutShort++
 	}
 }
 
-// Left says that a request left a backend server.
-func (j *Judge) Left(server string) {
+// RequestLeft says that a request left a backend server.
+func (j *Recorder) RequestLeft(server string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.advance()
 	j.servers[server].InFlight--
 }
 
-func (j *Judge) wait(r *Request, n int) {
+func (j *Recorder) wait(r *Request, n int) {
 	j.waiting[place{r.Model, r.Zone}] += n
 	j.accounts[r.Account] += n
 	j.point(r.Account)
 }
 
-func (j *Judge) point(account string) {
+func (j *Recorder) point(account string) {
 	if !j.counting {
 		return
 	}
@@ -210,7 +210,7 @@
 }
 
 // advance adds the time since the last event to the slots' account.
-func (j *Judge) advance() {
+func (j *Recorder) advance() {
 	now := time.Now()
 	dt := now.Sub(j.last).Seconds()
 	j.last = now
@@ -218,7 +218,7 @@
 		return
 	}
 	for _, s := range j.servers {
-		if s.Closed || !j.workFor(s) {
+		if s.Draining || !j.workFor(s) {
 			continue
 		}
 		j.available += dt * float64(s.Slots)
@@ -227,7 +227,7 @@
 }
 
 // workFor reports whether work waits that the server could do.
-func (j *Judge) workFor(s *Server) bool {
+func (j *Recorder) workFor(s *Server) bool {
 	for p, n := range j.waiting {
 		if n > 0 && p.model == s.Model && (p.zone == s.Zone || !j.cut[p.zone] && !j.cut[s.Zone]) {
 			return true
@@ -236,8 +236,8 @@
 	return false
 }
 
-// Finding is what the judge saw.
-type Finding struct {
+// Result is what the judge saw.
+type Result struct {
 	// Utilisation is 1 if no work ever waited.
 	Utilisation float64
 	// Overload is the greatest in flight over the slots.
@@ -252,8 +252,8 @@
 	Points map[string][]Point
 }
 
-// Ran reports how often a request ran.
-func (j *Judge) Ran(id string) int {
+// Runs reports how often a request ran.
+func (j *Recorder) Runs(id string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if r := j.requests[id]; r != nil {
@@ -262,31 +262,31 @@
 	return 0
 }
 
-// Slots returns the busy and the available slot-seconds so far.
-func (j *Judge) Slots() (busy, available float64) {
+// SlotSeconds returns the busy and the available slot-seconds so far.
+func (j *Recorder) SlotSeconds() (busy, available float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.advance()
 	return j.busy, j.available
 }
 
-// Find returns what was seen so far.
-func (j *Judge) Find() Finding {
+// Result returns what was seen so far.
+func (j *Recorder) Result() Result {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.advance()
-	f := Finding{Utilisation: 1, Points: j.points, CutStreams: j.cutShort}
+	f := Result{Utilisation: 1, Points: j.points, CutStreams: j.cutShort}
 	if j.available > 0 {
 		f.Utilisation = j.busy / j.available
 	}
 	for _, s := range j.servers {
-		f.Overload = max(f.Overload, float64(s.Most)/float64(s.Slots))
-		if s.Closed {
-			f.NewWorkAfterLeave = max(f.NewWorkAfterLeave, s.LastStart.Sub(s.ClosedAt))
+		f.Overload = max(f.Overload, float64(s.MaxInFlight)/float64(s.Slots))
+		if s.Draining {
+			f.NewWorkAfterLeave = max(f.NewWorkAfterLeave, s.LastArrival.Sub(s.DrainingSince))
 		}
 	}
 	for _, r := range j.requests {
-		if r.Once && r.Runs > 1 {
+		if r.NotRepeatable && r.Runs > 1 {
 			f.RunTwice++
 		}
 	}
--- a/test/docs_test.go
+++ b/test/docs_test.go
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	var want bytes.Buffer
-	if err := capacity.PrintTable(&want, capacity.Design(), slopes); err != nil {
+	if err := capacity.PrintTable(&want, capacity.DesignTarget(), slopes); err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(read(t, "docs/CAPACITY.md"), want.String()) {
