--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -40,8 +40,8 @@
 const (
 	// busyCooldown is how long a peer that refused a connection is not chosen again.
 	busyCooldown = 300 * time.Millisecond
-	// maxAttempts is the number of peers to which a connection is offered.
-	maxAttempts = 2
+	// attemptLimit is the number of peers to which a connection is offered.
+	attemptLimit = 2
 	// maxQueued bounds the messages of one stream that wait to be written to its connection.
 	maxQueued = 64
 	// chunkSize is the most bytes sent in one message.
--- a/internal/forward/outgoing.go
+++ b/internal/forward/outgoing.go
@@ -70,7 +70,7 @@
 // Forward relays bytes both ways until the connection ends or the deadline passes.
 func (f *Forwarder) Forward(caller net.Conn, head []byte, version table.Version, deadline time.Time) Result {
 	result := Result{Read: head}
-	for range maxAttempts {
+	for range attemptLimit {
 		to, ok := f.choosePeer(f.clock.Now(), result.To)
 		if !ok {
 			break
