--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -66,8 +66,8 @@
 	}
 	return front.Grant{
 		ID: dec.id, Backend: dec.start.Backend.Name, Address: dec.start.Backend.Address, StartTime: dec.start.Backend.StartTime, Reason: dec.start.Reason,
-		CopyPrefixFrom: dec.start.FetchFrom, MaxConnections: d.connectionShare(r.Model),
-		TokensAhead: dec.start.TokensAhead, ExpectedFirstEvent: dec.start.ExpectedDelay, Running: dec.start.Running,
+		CopyPrefixFrom: dec.start.CopyPrefixFrom, MaxConnections: d.connectionShare(r.Model),
+		TokensAhead: dec.start.TokensAhead, ExpectedFirstEvent: dec.start.ExpectedFirstEvent, Running: dec.start.Running,
 		Served: dec.tokens, Waited: r.Waited + dec.waited,
 		OnFirstEvent: func() { d.post(firstOutputEvent{dec.id}) },
 		OnNotice:     func(w backend.Notice) { d.post(noticeEvent{dec.id, w}) },
@@ -127,7 +127,7 @@
 	case u.Error == nil && u.Status >= http.StatusInternalServerError:
 		return admit.Failed
 	case u.Error == nil:
-		return admit.Answered
+		return admit.Succeeded
 	case u.Stalled:
 		return admit.Stalled
 	case u.Unreachable:
--- a/internal/dispatch/acquire_test.go
+++ b/internal/dispatch/acquire_test.go
@@ -24,7 +24,7 @@
 		"unreachable, saturated":     {admit.Unreachable, true, admit.Unknown},
 		"failed, saturated":          {admit.Failed, true, admit.Failed},
 		"broken, saturated":          {admit.Broken, true, admit.Broken},
-		"answered, saturated":        {admit.Answered, true, admit.Answered},
+		"answered, saturated":        {admit.Succeeded, true, admit.Succeeded},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dispatch/loadstats.go
+++ b/internal/dispatch/loadstats.go
@@ -15,17 +15,17 @@
 
 // observeDelay records a measured delay of this process.
 func (s *state) observeDelay(delay time.Duration) {
-	s.estimator.ObserveDelay(s.now, delay)
-	s.step(admit.ProcessingDelay{Delay: s.estimator.Delay()})
+	s.estimator.ObserveLag(s.now, delay)
+	s.step(admit.ProcessingLag{Lag: s.estimator.Lag()})
 	s.updateOverloaded()
 }
 
 // publishLoadStats publishes the load statistics to the callers' goroutines and logs changes of
 // saturation.
 func (s *state) publishLoadStats() {
-	p := &LoadStats{AdmitRatio: s.estimator.AdmittedFraction(), Lag: s.estimator.Delay(), Rate: s.estimator.Rate()}
+	p := &LoadStats{AdmittedFraction: s.estimator.AdmittedFraction(), Lag: s.estimator.Lag(), Rate: s.estimator.Rate()}
 	s.d.shared.loadStats.Store(p)
-	if p.AdmitRatio < 1 {
+	if p.AdmittedFraction < 1 {
 		s.saturatedAt = s.now
 	}
 	limited := s.saturatedAt > 0 && s.now-s.saturatedAt < saturatedHold
@@ -54,7 +54,7 @@
 		s.overloadedAt = s.now
 		if !overloaded {
 			s.d.shared.overloaded.Store(true)
-			s.d.opt.log.Warn("router_overloaded", "late_ms", s.estimator.Delay().Milliseconds())
+			s.d.opt.log.Warn("router_overloaded", "late_ms", s.estimator.Lag().Milliseconds())
 		}
 	case overloaded && s.estimator.AdmittedFraction() == 1 && s.now-s.overloadedAt >= minOverloadDuration:
 		s.d.shared.overloaded.Store(false)
@@ -67,8 +67,8 @@
 
 // LoadStats describes how well a router keeps up with its requests.
 type LoadStats struct {
-	// AdmitRatio is the fraction of requests that the router has processor time for.
-	AdmitRatio float64
+	// AdmittedFraction is the fraction of requests that the router has processor time for.
+	AdmittedFraction float64
 	// Lag is the delay between data arriving at a socket and the process reading it.
 	Lag time.Duration
 	// Rate is the number of requests per second that the router can process when it
@@ -80,7 +80,7 @@
 
 // LoadStats returns the current load statistics.
 func (d *Dispatcher) LoadStats() LoadStats {
-	p := LoadStats{AdmitRatio: 1}
+	p := LoadStats{AdmittedFraction: 1}
 	if last := d.shared.loadStats.Load(); last != nil {
 		p = *last
 	}
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -38,7 +38,7 @@
 type messageEvent struct{ peer.Inbound }
 
 func (e messageEvent) apply(s *state) {
-	member := roster.Member{Address: e.From, Name: e.Name, Zone: e.Zone, Inc: e.Incarnation}
+	member := roster.Member{Address: e.From, Name: e.Name, Zone: e.Zone, Incarnation: e.Incarnation}
 	if s.roster.Observe(s.now, member) {
 		s.d.opt.log.Info("member_heard", "peer", e.Name, "address", e.From, "zone", e.Zone, "incarnation", e.Incarnation)
 		if _, isRoster := e.Msg.(*wire.Roster); !isRoster {
--- a/internal/dispatch/roster.go
+++ b/internal/dispatch/roster.go
@@ -90,7 +90,7 @@
 
 func rosterEntry(k roster.MemberInfo) wire.RosterEntry {
 	return wire.RosterEntry{
-		Address: k.Address, Name: k.Name, Zone: k.Zone, Incarnation: k.Inc, Capacity: float32(k.Capacity),
+		Address: k.Address, Name: k.Name, Zone: k.Zone, Incarnation: k.Incarnation, Capacity: float32(k.Capacity),
 		LastSeenMillis: k.LastSeenAgo.Milliseconds(), Alive: k.Alive, Direct: k.Direct, Leaving: k.Leaving,
 	}
 }
@@ -100,7 +100,7 @@
 	list := make([]roster.MemberInfo, 0, len(m.Entries))
 	for _, e := range m.Entries {
 		list = append(list, roster.MemberInfo{
-			Member:      roster.Member{Address: e.Address, Name: e.Name, Zone: e.Zone, Inc: e.Incarnation, Capacity: float64(e.Capacity)},
+			Member:      roster.Member{Address: e.Address, Name: e.Name, Zone: e.Zone, Incarnation: e.Incarnation, Capacity: float64(e.Capacity)},
 			LastSeenAgo: time.Duration(e.LastSeenMillis) * time.Millisecond, Alive: e.Alive, Direct: e.Direct, Leaving: e.Leaving,
 		})
 	}
--- a/internal/dispatch/roster_test.go
+++ b/internal/dispatch/roster_test.go
@@ -48,7 +48,7 @@
 	s := newState(New(Identity{Name: "a", Address: "10.0.1.1:7", Zone: "x", Incarnation: 1}, emptySource{}, n))
 	s.now = time.Hour
 	observe := func(inc uint64, number int) {
-		s.roster.Observe(s.now, roster.Member{Address: fmt.Sprintf("10.0.0.%d:7", number), Zone: "x", Inc: inc})
+		s.roster.Observe(s.now, roster.Member{Address: fmt.Sprintf("10.0.0.%d:7", number), Zone: "x", Incarnation: inc})
 	}
 	send := func() *wire.Roster {
 		t.Helper()
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -566,7 +566,7 @@
 	a.done = true
 	sim.servers[a.server].inFlight--
 	sim.logf("%s: %s ends on %s", a.router, a.id, a.server)
-	r.step(endEvent{id: a.grant, result: admit.Answered, completed: true, tokens: a.tokens})
+	r.step(endEvent{id: a.grant, result: admit.Succeeded, completed: true, tokens: a.tokens})
 }
 
 // mark marks a backend server and publishes the table.
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -86,7 +86,7 @@
 const unlistedGraceFraction = 0.75
 
 func newState(d *Dispatcher) *state {
-	self := roster.Member{Address: d.id.Address, Name: d.id.Name, Zone: d.id.Zone, Inc: d.id.Incarnation, Capacity: d.id.Capacity}
+	self := roster.Member{Address: d.id.Address, Name: d.id.Name, Zone: d.id.Zone, Incarnation: d.id.Incarnation, Capacity: d.id.Capacity}
 	now := d.now()
 	s := &state{
 		d: d, now: now, lastEventAt: now, suspended: d.opt.clock.Suspended(),
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -32,8 +32,8 @@
 	Relay bool     `json:"relay"`
 	// Owned are the backend servers that this router owns.
 	Owned []string `json:"owned"`
-	// Untrusted are the backend servers that this router ejected for their failures.
-	Untrusted []string `json:"untrusted"`
+	// Ejected are the backend servers that this router ejected for their failures.
+	Ejected []string `json:"untrusted"`
 	// Leaving are the backend servers that announced their shutdown. BackingOff maps those
 	// that asked this router to pause to the remaining milliseconds.
 	Leaving    []string         `json:"leaving,omitempty"`
@@ -79,7 +79,7 @@
 	}
 	st.Unusable, st.UnusableCount = s.unusableEntries()
 	st.UnusableTotal = s.catalog.UnusableTotals()
-	st.Untrusted = slices.Sorted(maps.Keys(s.ejected))
+	st.Ejected = slices.Sorted(maps.Keys(s.ejected))
 	s.setBackendNotices(st)
 	st.Suspects, st.SuspectCount = s.suspects()
 	st.CrashesCleared = maps.Clone(s.clearedCrashes)
--- a/internal/dispatch/unusable_test.go
+++ b/internal/dispatch/unusable_test.go
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			d := New(Identity{Name: "r", Address: "10.0.0.1:7", Zone: "a", Incarnation: 1, ListenAddresses: []string{"10.0.0.1:8000", "10.0.0.1:7"}}, emptySource{}, &recordingTransport{}, WithLogger(slog.New(slog.DiscardHandler)))
 			s := newState(d)
-			s.roster.Observe(s.now, roster.Member{Address: "10.0.0.2:7", Name: "q", Zone: "a", Inc: 1})
+			s.roster.Observe(s.now, roster.Member{Address: "10.0.0.2:7", Name: "q", Zone: "a", Incarnation: 1})
 			if got := s.isRouterAddress(tc.address); got != tc.want {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
--- a/internal/dispatch/usage.go
+++ b/internal/dispatch/usage.go
@@ -20,7 +20,7 @@
 // sendUsage sends a router the accounts' usage for a scope.
 func (s *state) sendUsage(to string, t *admit.Snapshot, scope wire.Scope) {
 	if s.d.opt.weighted && scope != wire.ScopeNone {
-		s.d.net.Send(to, &wire.Usage{Scope: scope, Accounts: t.Uses(scope, to)})
+		s.d.net.Send(to, &wire.Usage{Scope: scope, Accounts: t.Usage(scope, to)})
 	}
 }
 
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -153,7 +153,7 @@
 		metrics.TableRevision:     int64(s.Table),
 		metrics.WaitingRequests:   int64(s.Waiting),
 		metrics.OwnedServers:      int64(len(s.Owned)),
-		metrics.EjectedServers:    int64(len(s.Untrusted)),
+		metrics.EjectedServers:    int64(len(s.Ejected)),
 		metrics.LeavingServers:    int64(len(s.Leaving)),
 		metrics.BackingOffServers: int64(len(s.BackingOff)),
 		metrics.ClosedZones:       int64(len(s.ClosedZones)),
--- a/internal/node/work.go
+++ b/internal/node/work.go
@@ -45,10 +45,10 @@
 	})
 	n.metrics.Gauge(metrics.ProcessorSeconds, now.processorTime.Seconds())
 	n.metrics.Gauge(metrics.LagSeconds, load.Lag.Seconds())
-	if load.AdmitRatio >= 1 {
+	if load.AdmittedFraction >= 1 {
 		return
 	}
 	n.log.Info("router_work", "processor_ms", (now.processorTime - before.processorTime).Milliseconds(), "late_ms", load.Lag.Milliseconds(),
-		"part", load.AdmitRatio, "can_per_s", int(load.Rate), "requests", now.requests-before.requests, "refused_unseen", now.refusedEarly-before.refusedEarly,
+		"part", load.AdmittedFraction, "can_per_s", int(load.Rate), "requests", now.requests-before.requests, "refused_unseen", now.refusedEarly-before.refusedEarly,
 		"stream_events", now.events-before.events, "caller_sends", now.flushes-before.flushes, "peer_messages", now.messages-before.messages)
 }
--- a/pkg/admit/admit_test.go
+++ b/pkg/admit/admit_test.go
@@ -47,7 +47,7 @@
 	sent := map[string]bool{}
 	var reads []string
 	for _, s := range order {
-		if !sent[s.Backend.Name] && s.FetchFrom == "" {
+		if !sent[s.Backend.Name] && s.CopyPrefixFrom == "" {
 			reads = append(reads, s.Backend.Name)
 		}
 		sent[s.Backend.Name] = true
--- a/pkg/admit/alive_test.go
+++ b/pkg/admit/alive_test.go
@@ -47,7 +47,7 @@
 				tc.sentAt: func() {
 					c.Step(now, admit.Arrive{Request: admit.Request{ID: 1, Service: service, Deadline: now + time.Minute}})
 				},
-				tc.answeredAt: func() { c.Step(now, admit.AttemptEnd{ID: 1, Result: admit.Answered}) },
+				tc.answeredAt: func() { c.Step(now, admit.AttemptEnd{ID: 1, Result: admit.Succeeded}) },
 			}
 			for at := time.Duration(0); at < 8*time.Second; at += 10 * ms {
 				now = start + at
--- a/pkg/admit/ask.go
+++ b/pkg/admit/ask.go
@@ -241,7 +241,7 @@
 		from = a.source.address()
 		c.recordCopy(s, r.Prefix)
 	}
-	c.startRequest(r, s, Start{FetchFrom: from, Reason: reasonOwnerTimeout, Running: s.running(c.now)})
+	c.startRequest(r, s, Start{CopyPrefixFrom: from, Reason: reasonOwnerTimeout, Running: s.running(c.now)})
 	c.notifyOwner(r, &wire.RequestUpdate{Kind: wire.RequestStarted, PrefillTokens: r.unread})
 	return true
 }
@@ -350,7 +350,7 @@
 		from = a.source.address()
 	}
 	c.startRequest(r, a.server, Start{
-		FetchFrom: from, Reason: a.reason, TokensAhead: reply.TokensAhead, ExpectedDelay: time.Duration(reply.ExpectedMillis) * time.Millisecond, Running: reply.Running,
+		CopyPrefixFrom: from, Reason: a.reason, TokensAhead: reply.TokensAhead, ExpectedFirstEvent: time.Duration(reply.ExpectedMillis) * time.Millisecond, Running: reply.Running,
 	})
 }
 
--- a/pkg/admit/capacity.go
+++ b/pkg/admit/capacity.go
@@ -81,8 +81,8 @@
 	return &CapacityEstimator{rate: rate, minRate: minRateFraction * rate, maxRate: maxRateFraction * rate, throttle: 1, demand: map[wire.NameHash]float64{}, admitted: 1}
 }
 
-// ObserveDelay adds a sample of the processing delay.
-func (e *CapacityEstimator) ObserveDelay(now, delay time.Duration) {
+// ObserveLag adds a sample of the processing delay.
+func (e *CapacityEstimator) ObserveLag(now, delay time.Duration) {
 	e.delay += time.Duration(delayWeight * float64(delay-e.delay))
 	excess := float64(delay-delayThreshold) / float64(delayLimit-delayThreshold)
 	e.throttle = 1 - min(1, max(0, excess))
@@ -163,8 +163,8 @@
 // Rate returns the number of requests per second that can be processed without refusals.
 func (e *CapacityEstimator) Rate() float64 { return e.rate }
 
-// Delay returns the moving average of the processing delay.
-func (e *CapacityEstimator) Delay() time.Duration { return e.delay }
+// Lag returns the moving average of the processing delay.
+func (e *CapacityEstimator) Lag() time.Duration { return e.delay }
 
 // maxMinShare returns the share at which all demands up to it add up to the total.
 func maxMinShare(demands []float64, total float64) float64 {
--- a/pkg/admit/capacity_test.go
+++ b/pkg/admit/capacity_test.go
@@ -32,7 +32,7 @@
 		backlog += admitted*processCost.Seconds() + (arrived-admitted)*refusalCost.Seconds()
 		backlog = max(0, backlog-processor*step.Seconds())
 		delaySeconds := backlog / processor
-		e.ObserveDelay(now, time.Duration(delaySeconds*float64(time.Second)))
+		e.ObserveLag(now, time.Duration(delaySeconds*float64(time.Second)))
 		plan = e.Plan(step, map[wire.NameHash]int{key: int(arrived)}, int(arrived-admitted), false)
 		if now >= settleTime {
 			processed += admitted
@@ -87,7 +87,7 @@
 				if plan.Forward < 0 {
 					t.Fatalf("Forward is %.1f", plan.Forward)
 				}
-				e.ObserveDelay(0, 13*time.Millisecond)
+				e.ObserveLag(0, 13*time.Millisecond)
 			}
 			if plan.PerAccount < tc.perAccount[0] || plan.PerAccount > tc.perAccount[1] || plan.Forward < tc.forward[0] || plan.Forward > tc.forward[1] {
 				t.Errorf("plan admits %.0f requests per second of an account and forwards %.0f", plan.PerAccount, plan.Forward)
--- a/pkg/admit/core.go
+++ b/pkg/admit/core.go
@@ -31,15 +31,15 @@
 type Start struct {
 	ID      uint64
 	Backend table.Backend
-	// FetchFrom is the address of the backend server from which to copy the cached prompt
+	// CopyPrefixFrom is the address of the backend server from which to copy the cached prompt
 	// prefix, "" if no copy is needed.
-	FetchFrom string
+	CopyPrefixFrom string
 	// Reason is a code for why this backend server was chosen.
 	Reason string
 	// TokensAhead is the number of prompt tokens that the backend server reads before the first
-	// event of the response; ExpectedDelay is the predicted time to that event.
-	TokensAhead   int64
-	ExpectedDelay time.Duration
+	// event of the response; ExpectedFirstEvent is the predicted time to that event.
+	TokensAhead        int64
+	ExpectedFirstEvent time.Duration
 	// Running is the number of requests in flight at the backend server.
 	Running int
 	// Waited is how long the request waited at this router.
@@ -254,10 +254,10 @@
 	c.syncIfDue()
 }
 
-// ProcessingDelay reports how long received messages wait before this router processes them.
-type ProcessingDelay struct{ Delay time.Duration }
+// ProcessingLag reports how long received messages wait before this router processes them.
+type ProcessingLag struct{ Lag time.Duration }
 
-func (e ProcessingDelay) apply(c *Core) { c.delay = max(0, e.Delay) }
+func (e ProcessingLag) apply(c *Core) { c.delay = max(0, e.Lag) }
 
 // NeedsTicks reports whether requests wait, at this router or in the queues of its backend
 // servers.
--- a/pkg/admit/delay_test.go
+++ b/pkg/admit/delay_test.go
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := newNonOwner(t)
 			now := 3 * time.Second
-			c.Step(now, admit.ProcessingDelay{Delay: tc.delay})
+			c.Step(now, admit.ProcessingLag{Lag: tc.delay})
 			submit(c, now, 1)
 			started, refused := outcome(c, now, now+90*time.Millisecond, 1)
 			if started != tc.want || refused != nil {
--- a/pkg/admit/fetch_test.go
+++ b/pkg/admit/fetch_test.go
@@ -33,7 +33,7 @@
 	from := map[string]int{}
 	for _, s := range w.starts {
 		if s.at >= after {
-			from[s.FetchFrom]++
+			from[s.CopyPrefixFrom]++
 		}
 	}
 	return from
@@ -53,14 +53,14 @@
 	}
 	copies := map[string]int{}
 	for _, s := range w.starts {
-		if s.FetchFrom == "" {
+		if s.CopyPrefixFrom == "" {
 			continue
 		}
-		if at, ok := sent[s.FetchFrom]; !ok || at > s.at {
-			t.Errorf("copied at %v from %s, which was first sent the prompt at %v", s.at, s.FetchFrom, at)
+		if at, ok := sent[s.CopyPrefixFrom]; !ok || at > s.at {
+			t.Errorf("copied at %v from %s, which was first sent the prompt at %v", s.at, s.CopyPrefixFrom, at)
 		}
-		if s.Backend.Address == s.FetchFrom {
-			t.Errorf("%s copies from itself", s.FetchFrom)
+		if s.Backend.Address == s.CopyPrefixFrom {
+			t.Errorf("%s copies from itself", s.CopyPrefixFrom)
 		}
 		copies[s.Backend.Name]++
 	}
@@ -110,10 +110,10 @@
 					continue
 				}
 				isNew := s.Backend.Name == "new-0" || s.Backend.Name == "new-1"
-				if isNew != (s.FetchFrom != "") {
-					t.Errorf("sent to %s, copied from %q", s.Backend.Name, s.FetchFrom)
+				if isNew != (s.CopyPrefixFrom != "") {
+					t.Errorf("sent to %s, copied from %q", s.Backend.Name, s.CopyPrefixFrom)
 				}
-				copied += boolToInt(s.FetchFrom == "at-old-0" || s.FetchFrom == "at-old-1")
+				copied += boolToInt(s.CopyPrefixFrom == "at-old-0" || s.CopyPrefixFrom == "at-old-1")
 			}
 			if copied < 3 {
 				t.Errorf("only %d prompts were copied from the previous engines", copied)
@@ -139,8 +139,8 @@
 			continue
 		}
 		atNew++
-		if s.FetchFrom != "at-old-1" && s.FetchFrom != "at-old-2" {
-			t.Errorf("prompt %d is copied from %q, want an older engine", prefix, s.FetchFrom)
+		if s.CopyPrefixFrom != "at-old-1" && s.CopyPrefixFrom != "at-old-2" {
+			t.Errorf("prompt %d is copied from %q, want an older engine", prefix, s.CopyPrefixFrom)
 		}
 	}
 	if atNew == 0 {
@@ -157,8 +157,8 @@
 	id = w.submit(w.order[0], admit.Request{Prefix: 77, Prompt: 6000, Shared: 4000, Output: 50})
 	w.step(w.order[0], admit.AttemptEnd{ID: id, Result: admit.Stalled})
 	id = w.submit(w.order[0], admit.Request{Prefix: 77, Prompt: 6000, Shared: 4000, Output: 50})
-	if s := w.starts[id]; s.Backend.Name == "" || s.Backend.Name == first || s.FetchFrom == first {
-		t.Errorf("sent to %q, copied from %q; the stalled engine is %s", s.Backend.Name, s.FetchFrom, first)
+	if s := w.starts[id]; s.Backend.Name == "" || s.Backend.Name == first || s.CopyPrefixFrom == first {
+		t.Errorf("sent to %q, copied from %q; the stalled engine is %s", s.Backend.Name, s.CopyPrefixFrom, first)
 	}
 }
 
--- a/pkg/admit/health.go
+++ b/pkg/admit/health.go
@@ -11,8 +11,8 @@
 
 // Results of attempts.
 const (
-	// Answered: a complete response that is not a server error.
-	Answered Result = iota
+	// Succeeded: a complete response that is not a server error.
+	Succeeded Result = iota
 	// Failed: the backend server responded with an error of its own.
 	Failed
 	// Broken: the connection broke, or the response was malformed.
@@ -97,7 +97,7 @@
 
 func (h *health) noteEnded(now time.Duration, r Result) {
 	switch r {
-	case Answered:
+	case Succeeded:
 		h.record(0)
 		if h.ejectedUntil > 0 && h.probedAt > 0 {
 			h.readmit()
--- a/pkg/admit/local_test.go
+++ b/pkg/admit/local_test.go
@@ -30,8 +30,8 @@
 	}
 	for i, want := range []string{cachedAt, ""} {
 		s := submit()
-		if s.Reason != "owner-timeout" || s.Backend.Name != to || s.FetchFrom != want {
-			t.Errorf("prompt %d: sent to %q (%s), copied from %q; want %q, copied from %q", i, s.Backend.Name, s.Reason, s.FetchFrom, to, want)
+		if s.Reason != "owner-timeout" || s.Backend.Name != to || s.CopyPrefixFrom != want {
+			t.Errorf("prompt %d: sent to %q (%s), copied from %q; want %q, copied from %q", i, s.Backend.Name, s.Reason, s.CopyPrefixFrom, to, want)
 		}
 	}
 }
--- a/pkg/admit/notice_test.go
+++ b/pkg/admit/notice_test.go
@@ -239,7 +239,7 @@
 	}
 	for id, s := range w.starts {
 		if s.Backend.Name == other.Name {
-			w.step(router, admit.AttemptEnd{ID: id, Result: admit.Answered})
+			w.step(router, admit.AttemptEnd{ID: id, Result: admit.Succeeded})
 		}
 	}
 	w.announce(t, router, full.Name, admit.BackendNotice{Backoff: time.Minute})
--- a/pkg/admit/request.go
+++ b/pkg/admit/request.go
@@ -204,7 +204,7 @@
 	switch {
 	case e.Disconnected:
 		c.recordCrash(r.server, suspect.Crash{Digest: e.Digest, At: c.now, Sent: r.startedAt, Unanswered: r.unread > 0})
-	case e.Result == Answered || e.Result == Failed || e.Result == Refused:
+	case e.Result == Succeeded || e.Result == Failed || e.Result == Refused:
 		c.confirmAlive(r.server, r.startedAt)
 	case e.Result == Stalled || e.Result == Unknown:
 		c.recordStall(r, e.Digest)
--- a/pkg/admit/weights.go
+++ b/pkg/admit/weights.go
@@ -345,8 +345,8 @@
 	u.unreported = append(u.unreported, now)
 }
 
-// Uses returns the account usage of a scope for a receiver.
-func (s *Snapshot) Uses(scope wire.Scope, receiver string) []wire.AccountUsage {
+// Usage returns the account usage of a scope for a receiver.
+func (s *Snapshot) Usage(scope wire.Scope, receiver string) []wire.AccountUsage {
 	if s.core.weighted == nil {
 		return nil
 	}
--- a/pkg/admit/world_test.go
+++ b/pkg/admit/world_test.go
@@ -200,7 +200,7 @@
 		if other != name {
 			w.deliver(name, other, &wire.RouterState{Accounts: s.Flows(wire.ScopeOwn, other), Copies: s.Copies()})
 			if w.weighted {
-				w.deliver(name, other, &wire.Usage{Scope: wire.ScopeOwn, Accounts: s.Uses(wire.ScopeOwn, other)})
+				w.deliver(name, other, &wire.Usage{Scope: wire.ScopeOwn, Accounts: s.Usage(wire.ScopeOwn, other)})
 			}
 		}
 	}
@@ -277,7 +277,7 @@
 		if !w.crashes.isDisconnected(a.ID) && !w.crashes.isCrashing(r.Digest) {
 			w.crashes.onEnded(a.ID)
 			w.completedTokens[r.Account] += w.tokens
-			w.step(name, admit.AttemptEnd{ID: a.ID, Result: admit.Answered, Digest: r.Digest, Completed: true, Tokens: w.tokens})
+			w.step(name, admit.AttemptEnd{ID: a.ID, Result: admit.Succeeded, Digest: r.Digest, Completed: true, Tokens: w.tokens})
 		}
 	})
 }
--- a/pkg/roster/fleet_test.go
+++ b/pkg/roster/fleet_test.go
@@ -38,7 +38,7 @@
 	}
 	for z := range zones {
 		for i := range perZone {
-			m := roster.Member{Address: fmt.Sprintf("%d-%d", z, i), Zone: fmt.Sprint(z), Inc: 1, Capacity: 0.2}
+			m := roster.Member{Address: fmt.Sprintf("%d-%d", z, i), Zone: fmt.Sprint(z), Incarnation: 1, Capacity: 0.2}
 			if i < 2 {
 				m.Capacity = 0.8
 			}
@@ -160,7 +160,7 @@
 	for _, stopped := range []string{relay, other, "2-7"} {
 		f.down[stopped] = false
 		m := f.self[stopped]
-		m.Inc = 2
+		m.Incarnation = 2
 		f.self[stopped] = m
 		f.rosters[stopped] = roster.New(m, []string{"0-0", "1-0", "2-0"})
 	}
--- a/pkg/roster/report.go
+++ b/pkg/roster/report.go
@@ -56,7 +56,7 @@
 	}
 	for _, info := range report.Members {
 		if info.Address == r.self.Address {
-			r.noteIncarnation(info.Inc)
+			r.noteIncarnation(info.Incarnation)
 			continue
 		}
 		if info.LastSeenAgo >= ForgetAfter {
@@ -64,7 +64,7 @@
 		}
 		m := r.mergeMember(now, info)
 		delete(alive, info.Address)
-		if info.Inc == m.Inc && info.Alive && isRelay && (indirect || info.Direct) {
+		if info.Incarnation == m.Incarnation && info.Alive && isRelay && (indirect || info.Direct) {
 			alive[info.Address] = true
 			m.leaving = m.leaving || info.Leaving
 		}
@@ -80,7 +80,7 @@
 
 // noteIncarnation records which incarnation of this router another one knows.
 func (r *Roster) noteIncarnation(inc uint64) {
-	if inc > r.self.Inc {
+	if inc > r.self.Incarnation {
 		r.higherInc = max(r.higherInc, inc)
 	}
 }
@@ -96,13 +96,13 @@
 func (r *Roster) mergeMember(now time.Duration, info MemberInfo) *member {
 	m := r.getOrAdd(now, info.Address)
 	m.lastSeen = max(m.lastSeen, now-info.LastSeenAgo)
-	if info.Inc > m.Inc {
+	if info.Incarnation > m.Incarnation {
 		m.leaving, m.unansweredSince = false, 0
 	}
-	if info.Inc >= m.Inc && (m.lastReceived == 0 || info.Inc > m.Inc) {
+	if info.Incarnation >= m.Incarnation && (m.lastReceived == 0 || info.Incarnation > m.Incarnation) {
 		m.Member = info.Member
 	}
-	if info.Inc == m.Inc && info.Capacity > 0 {
+	if info.Incarnation == m.Incarnation && info.Capacity > 0 {
 		m.Capacity = info.Capacity
 	}
 	return m
@@ -137,7 +137,7 @@
 	relays := r.relays(now)
 	for _, address := range slices.Sorted(maps.Keys(r.members)) {
 		m := r.members[address]
-		if m.Inc == 0 || now-m.lastSeen >= ForgetAfter {
+		if m.Incarnation == 0 || now-m.lastSeen >= ForgetAfter {
 			continue
 		}
 		info := MemberInfo{Member: m.Member, LastSeenAgo: now - m.lastSeen, Alive: r.isAlive(now, m), Leaving: m.leaving}
@@ -170,7 +170,7 @@
 // Digest returns a hash of everything but Name, Zone, Capacity and LastSeenAgo.
 func (info *MemberInfo) Digest() uint64 {
 	var d xxhash.Digest
-	d.ResetWithSeed(info.Inc)
+	d.ResetWithSeed(info.Incarnation)
 	_, _ = d.WriteString(info.Address)
 	var flags [3]byte
 	for i, flag := range []bool{info.Alive, info.Direct, info.Leaving} {
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -59,8 +59,8 @@
 	Address string
 	Name    string
 	Zone    string
-	// Inc is its incarnation number, 0 if unknown.
-	Inc uint64
+	// Incarnation is its number, 0 if unknown.
+	Incarnation uint64
 	// Capacity is its share of processors, 0 if unknown.
 	Capacity float64
 }
@@ -145,12 +145,12 @@
 		return false
 	}
 	m := r.getOrAdd(now, from.Address)
-	if from.Inc < m.Inc {
+	if from.Incarnation < m.Incarnation {
 		return false
 	}
 	r.relayCache = nil
-	isNew := !r.isAlive(now, m) || from.Inc > m.Inc
-	if from.Inc > m.Inc {
+	isNew := !r.isAlive(now, m) || from.Incarnation > m.Incarnation
+	if from.Incarnation > m.Incarnation {
 		m.leaving = false
 		r.removeFromReports(from.Address)
 	}
@@ -170,8 +170,8 @@
 	if r.higherInc == 0 {
 		return 0
 	}
-	r.self.Inc, r.higherInc = r.higherInc+1, 0
-	return r.self.Inc
+	r.self.Incarnation, r.higherInc = r.higherInc+1, 0
+	return r.self.Incarnation
 }
 
 func (r *Roster) getOrAdd(now time.Duration, address string) *member {
@@ -230,7 +230,7 @@
 // others recently heard from it. A router that joins a large fleet thus chooses its relays
 // from the first report, instead of exchanging messages with every router it learns of.
 func (r *Roster) isExpected(now time.Duration, m *member) bool {
-	return m.Inc > 0 && !m.leaving && now-m.lastSeen < expectTTL && (m.unansweredSince == 0 || now-m.unansweredSince < probeTimeout)
+	return m.Incarnation > 0 && !m.leaving && now-m.lastSeen < expectTTL && (m.unansweredSince == 0 || now-m.unansweredSince < probeTimeout)
 }
 
 // Live returns the addresses of the other routers that are alive.
@@ -323,7 +323,7 @@
 func (r *Roster) CountRecent(now, within time.Duration) int {
 	n := 1
 	for _, m := range r.members {
-		if m.Inc > 0 && now-m.lastSeen < within {
+		if m.Incarnation > 0 && now-m.lastSeen < within {
 			n++
 		}
 	}
@@ -336,7 +336,7 @@
 func (r *Roster) KnownByZone() map[string]int {
 	known := map[string]int{r.self.Zone: 1}
 	for _, m := range r.members {
-		if m.Inc > 0 && !m.leaving && !m.down {
+		if m.Incarnation > 0 && !m.leaving && !m.down {
 			known[m.Zone]++
 		}
 	}
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -12,9 +12,9 @@
 )
 
 var (
-	self = roster.Member{Address: "10.0.0.1:7", Name: "a", Zone: "x", Inc: 5}
-	b    = roster.Member{Address: "10.0.0.2:7", Name: "b", Zone: "x", Inc: 5}
-	c    = roster.Member{Address: "10.0.0.3:7", Name: "c", Zone: "y", Inc: 5}
+	self = roster.Member{Address: "10.0.0.1:7", Name: "a", Zone: "x", Incarnation: 5}
+	b    = roster.Member{Address: "10.0.0.2:7", Name: "b", Zone: "x", Incarnation: 5}
+	c    = roster.Member{Address: "10.0.0.3:7", Name: "c", Zone: "y", Incarnation: 5}
 )
 
 // view is a roster's state at a time.
@@ -83,7 +83,7 @@
 				r.Observe(second, b)
 				r.MarkDown(b.Address)
 				old := b
-				old.Inc = 4
+				old.Incarnation = 4
 				r.Observe(second, old)
 			}, at: second,
 			want: view{Probes: []string{b.Address}, Recent: 2}},
@@ -112,7 +112,7 @@
 		t.Errorf("active routers %v, want none", got)
 	}
 	restarted := b
-	restarted.Inc = 6
+	restarted.Incarnation = 6
 	if !r.Observe(3, restarted) || len(r.Active(3)) != 1 {
 		t.Error("a restarted router is not reported as new")
 	}
@@ -139,7 +139,7 @@
 	r = roster.New(self, nil)
 	for i := range 10 {
 		for _, zone := range []string{"x", "y"} {
-			m := roster.Member{Address: fmt.Sprintf("10.0.%s.%d:7", zone, i), Zone: zone, Inc: 5}
+			m := roster.Member{Address: fmt.Sprintf("10.0.%s.%d:7", zone, i), Zone: zone, Incarnation: 5}
 			all = append(all, roster.MemberInfo{Member: m, Alive: true, Direct: true})
 		}
 	}
@@ -171,7 +171,7 @@
 		}
 	}
 	restarted := all[0].Member
-	restarted.Inc++
+	restarted.Incarnation++
 	if !r.Observe(later, restarted) {
 		t.Error("a restarted router is not reported as new")
 	}
@@ -262,7 +262,7 @@
 	var all []roster.MemberInfo
 	for i := range 12 {
 		for _, zone := range []string{"x", "y"} {
-			m := roster.Member{Address: fmt.Sprintf("10.0.%s.%d:7", zone, i), Zone: zone, Inc: 5}
+			m := roster.Member{Address: fmt.Sprintf("10.0.%s.%d:7", zone, i), Zone: zone, Incarnation: 5}
 			r.Observe(now, m)
 			all = append(all, roster.MemberInfo{Member: m, Alive: true})
 		}
@@ -283,9 +283,9 @@
 		t.Fatal("a report applied as a relay is not known")
 	}
 	for i := range 2 {
-		r.Observe(now, roster.Member{Address: fmt.Sprintf("10.0.z.%d:7", i), Zone: "x", Inc: 5, Capacity: 1e6})
+		r.Observe(now, roster.Member{Address: fmt.Sprintf("10.0.z.%d:7", i), Zone: "x", Incarnation: 5, Capacity: 1e6})
 	}
-	remaining := roster.Member{Address: other, Zone: "x", Inc: 5, Capacity: 1e9}
+	remaining := roster.Member{Address: other, Zone: "x", Incarnation: 5, Capacity: 1e9}
 	r.Observe(now, remaining)
 	if r.ConfirmReport(now, other, 1) {
 		t.Error("a report applied as a relay is still accepted by a router that is none")
