--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// withholds reports whether the response must not reach the client: a server error that
-// the caller of Do may retry, or a response that does not continue a resumed stream.
+// withholds reports whether the response must not reach the caller: a server error after
+// which the request may be retried, or a response that does not continue a resumed stream.
 func (x *roundTrip) withholds(resp *http.Response) bool {
 	if x.call.Resume {
 		return resp.StatusCode != http.StatusOK || !isEventStream(resp)
@@ -198,7 +198,7 @@
 	}
 }
 
-// waitForBatch waits for further events, so that they are sent to the client together.
+// waitForBatch waits for further events, so that they are sent to the caller together.
 // This saves processor time while the router is busy.
 func (x *roundTrip) waitForBatch() {
 	if x.call.BatchDelay == nil {
@@ -227,7 +227,7 @@
 	x.sink.Trailer(resp.Trailer)
 }
 
-// deliver writes bytes to the client. It fails the call and returns false if the client
+// deliver writes bytes to the caller. It fails the call and returns false if the caller
 // has disconnected.
 func (x *roundTrip) deliver(p []byte, flush bool) bool {
 	_, err := x.sink.Write(p)
@@ -236,14 +236,14 @@
 		err = x.sink.Flush()
 	}
 	if err != nil {
-		x.fail(verdict.PhaseStream, statusClientClosed, "caller-gone", "the caller went away", err)
+		x.fail(verdict.PhaseStream, statusClientClosedRequest, "caller-gone", "the caller went away", err)
 		return false
 	}
 	return true
 }
 
-// statusClientClosed is only logged, since the client has disconnected.
-const statusClientClosed = 499
+// statusClientClosedRequest is only logged, since the caller has disconnected.
+const statusClientClosedRequest = 499
 
 func (x *roundTrip) failIncomplete(err error) {
 	if x.recordStall() || x.failIfCanceled(verdict.PhaseStream, err) {
--- a/internal/backend/batch_test.go
+++ b/internal/backend/batch_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestBatchedEvents checks that events that arrive during the batch delay are sent to the
-// client together, and that none is lost.
+// caller together, and that none is lost.
 func TestBatchedEvents(t *testing.T) {
 	waiting, sent := make(chan struct{}), make(chan struct{})
 	s := serve(t, func(s *server, conn net.Conn) {
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -1,5 +1,5 @@
 // Package backend sends a request to a backend server and forwards the response to
-// the client. It tracks whether any byte of the request was sent, which determines
+// the caller. It tracks whether any byte of the request was sent, which determines
 // whether the request may have run.
 package backend
 
@@ -65,12 +65,12 @@
 	// CopyPrefixFrom is the address of a backend server whose cached prompt prefix the
 	// called one copies, "" for none.
 	CopyPrefixFrom string
-	// Resume means that the client already has the response up to LastEvent, and that
+	// Resume means that the caller already has the response up to LastEvent, and that
 	// the backend server continues after it.
 	Resume bool
-	// LastEvent is the number of the last event the client has, 0 for none.
+	// LastEvent is the number of the last event the caller has, 0 for none.
 	LastEvent uint64
-	// WithholdServerErrors keeps responses with a 5xx status from the client, so that
+	// WithholdServerErrors keeps responses with a 5xx status from the caller, so that
 	// the request can be retried.
 	WithholdServerErrors bool
 	// BufferLimit is the number of bytes of an unparsed response that are read before
@@ -102,7 +102,7 @@
 type Sink interface {
 	// Begin is called once, before the other methods.
 	Begin(status int, header http.Header)
-	// Write returns an error if the client has disconnected.
+	// Write returns an error if the caller has disconnected.
 	Write(p []byte) (int, error)
 	// Flush sends the bytes written so far.
 	Flush() error
@@ -144,7 +144,7 @@
 
 // Stats counts what a Client has forwarded since its creation.
 type Stats struct {
-	// Events counts stream events. Flushes counts writes to clients, each of which may
+	// Events counts stream events. Flushes counts writes to callers, each of which may
 	// hold several events.
 	Events, Flushes int64
 }
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -34,7 +34,7 @@
 func (r *recorder) Trailer(h http.Header)           { r.trailer = h }
 func (r *recorder) Write(p []byte) (int, error) {
 	if r.disconnected {
-		return 0, errors.New("client disconnected")
+		return 0, errors.New("caller disconnected")
 	}
 	return r.body.Write(p)
 }
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -220,7 +220,7 @@
 	x.fail(verdict.PhaseHeader, http.StatusBadGateway, "backend-broke", "the connection broke before the backend server answered", err)
 }
 
-// failIfCanceled fails the call if the client disconnected or the deadline passed, and
+// failIfCanceled fails the call if the caller disconnected or the deadline passed, and
 // reports whether it did. The error is not the backend server's fault then, since
 // cancellation closes the connection.
 func (x *roundTrip) failIfCanceled(phase verdict.Phase, err error) bool {
@@ -230,7 +230,7 @@
 	case errors.Is(cause, context.DeadlineExceeded):
 		x.fail(phase, http.StatusGatewayTimeout, "deadline", "the deadline passed before the backend server's answer ended", err)
 	default:
-		x.fail(phase, statusClientClosed, "caller-gone", "the caller went away", err)
+		x.fail(phase, statusClientClosedRequest, "caller-gone", "the caller went away", err)
 	}
 	return true
 }
--- a/internal/backend/headers.go
+++ b/internal/backend/headers.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// setOrDelete is like set, but deletes the header if the value is empty, so that clients
+// setOrDelete is like set, but deletes the header if the value is empty, so that callers
 // cannot supply it.
 func setOrDelete(h http.Header, name, value string) {
 	if name == "" {
--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -149,12 +149,12 @@
 
 // SpendRetry implements front.Scheduler.
 func (d *Dispatcher) SpendRetry(r front.Request) bool {
-	answer := make(chan bool, 1)
-	if !d.post(retryEvent{r.Model, answer}) {
+	result := make(chan bool, 1)
+	if !d.post(retryEvent{r.Model, result}) {
 		return false
 	}
 	select {
-	case ok := <-answer:
+	case ok := <-result:
 		return ok
 	case <-d.ctx.Done():
 		return false
@@ -163,12 +163,12 @@
 
 type retryEvent struct {
 	service string
-	answer  chan<- bool
+	result  chan<- bool
 }
 
 func (e retryEvent) apply(s *state) {
 	routers := s.roster.CountRecent(s.now, s.retryRule.Window)
-	e.answer <- s.allowance.Spend(s.now, e.service, routers)
+	e.result <- s.allowance.Spend(s.now, e.service, routers)
 }
 
 type arriveEvent struct{ *attempt }
@@ -204,7 +204,7 @@
 	a.result <- dec
 }
 
-// cancelEvent cancels an attempt whose client disconnected, whether it still waits or was just
+// cancelEvent cancels an attempt whose caller disconnected, whether it still waits or was just
 // granted a slot.
 type cancelEvent struct{ *attempt }
 
@@ -269,7 +269,7 @@
 }
 
 // adjustResult discards stalls and connection failures while this router is saturated, since
-// its own delay may have caused them.
+// its own lag may have caused them.
 func adjustResult(result admit.Result, saturated bool) admit.Result {
 	if saturated && (result == admit.Stalled || result == admit.Unreachable) {
 		return admit.Unknown
--- a/internal/dispatch/acquire_test.go
+++ b/internal/dispatch/acquire_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestAdjustResult guards against blaming a backend server for a stall that the router's own
-// delay may have caused.
+// lag may have caused.
 func TestAdjustResult(t *testing.T) {
 	tests := map[string]struct {
 		result    admit.Result
@@ -24,7 +24,7 @@
 		"unreachable, saturated":     {admit.Unreachable, true, admit.Unknown},
 		"failed, saturated":          {admit.Failed, true, admit.Failed},
 		"broken, saturated":          {admit.Broken, true, admit.Broken},
-		"answered, saturated":        {admit.Succeeded, true, admit.Succeeded},
+		"succeeded, saturated":       {admit.Succeeded, true, admit.Succeeded},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 		"disconnected during the response": {usage("answer-cut", true, false), true},
 		"closed after a stall":             {usage("answer-cut", true, true), false},
 		"nothing was sent":                 {usage("backend-broke", false, false), false},
-		"client disconnected":              {usage("caller-gone", true, false), false},
+		"caller disconnected":              {usage("caller-gone", true, false), false},
 		"deadline exceeded":                {usage("deadline", true, false), false},
 		"invalid response":                 {usage("bad-answer", true, false), false},
 	}
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// claimTimeout bounds the wait for the answers of a key's homes.
+	// claimTimeout bounds the wait for the replies of a key's homes.
 	claimTimeout = 2 * time.Second
-	// keyHomeRetryAfter is the Retry-After when too few homes of a key answered.
+	// keyHomeRetryAfter is the Retry-After when too few homes of a key replied.
 	keyHomeRetryAfter = 2 * time.Second
 	// maxVouchPause is the longest pause after which this router still vouches for keys
 	// that it did not record. After a longer one, others may have removed it and changed
@@ -54,10 +54,10 @@
 	wallOffset time.Duration
 }
 
-// pendingClaim is a claim that waits for answers of the key's homes.
+// pendingClaim is a claim that waits for replies of the key's homes.
 type pendingClaim struct {
 	msg      *wire.Claim
-	answer   chan<- error
+	result   chan<- error
 	deadline time.Duration
 	homes    []string
 	ballot   *once.Ballot
@@ -72,16 +72,16 @@
 
 // Claim implements front.Scheduler.
 func (d *Dispatcher) Claim(ctx context.Context, cl front.Claim) error {
-	answer := make(chan error, 1)
+	result := make(chan error, 1)
 	msg := &wire.Claim{Key: scopedKey(cl), Request: cl.Request}
 	if !cl.FirstUsed.IsZero() {
 		msg.At = cl.FirstUsed.UnixMilli()
 	}
-	if !d.post(claimEvent{&pendingClaim{msg: msg, answer: answer}}) {
+	if !d.post(claimEvent{&pendingClaim{msg: msg, result: result}}) {
 		return errStopping
 	}
 	select {
-	case err := <-answer:
+	case err := <-result:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
@@ -92,7 +92,7 @@
 
 // Unclaim implements front.Scheduler.
 func (d *Dispatcher) Unclaim(cl front.Claim) {
-	d.post(voidClaimEvent{&wire.ClaimRelease{Key: scopedKey(cl), Request: cl.Request}})
+	d.post(releaseClaimEvent{&wire.ClaimRelease{Key: scopedKey(cl), Request: cl.Request}})
 }
 
 type claimEvent struct{ *pendingClaim }
@@ -110,11 +110,13 @@
 	}
 }
 
-type voidClaimEvent struct{ msg *wire.ClaimRelease }
+type releaseClaimEvent struct{ msg *wire.ClaimRelease }
 
-func (e voidClaimEvent) apply(s *state) { s.voidClaim(s.keys.homesOf(e.msg.Key, s.d.id.Zone), e.msg) }
+func (e releaseClaimEvent) apply(s *state) {
+	s.releaseClaim(s.keys.homesOf(e.msg.Key, s.d.id.Zone), e.msg)
+}
 
-func (s *state) voidClaim(homes []string, msg *wire.ClaimRelease) {
+func (s *state) releaseClaim(homes []string, msg *wire.ClaimRelease) {
 	for _, home := range homes {
 		s.sendOrHandle(home, msg)
 	}
@@ -158,11 +160,11 @@
 	case *wire.ClaimRelease:
 		s.keys.homes.Void(m)
 	case *wire.ClaimReply:
-		s.handleClaimAnswer(from, m)
+		s.handleClaimReply(from, m)
 	}
 }
 
-func (s *state) handleClaimAnswer(from string, m *wire.ClaimReply) {
+func (s *state) handleClaimReply(from string, m *wire.ClaimReply) {
 	cl, ok := s.keys.pending[m.Seq]
 	if !ok {
 		return
@@ -173,14 +175,14 @@
 	}
 }
 
-// finishClaim answers a claim. It voids a claim that was not granted, so that a retry of the
-// caller can use the key.
+// finishClaim delivers the result of a claim. It releases a claim that was not granted, so that
+// a retry of the caller can use the key.
 func (s *state) finishClaim(cl *pendingClaim, state wire.ClaimState) {
 	delete(s.keys.pending, cl.msg.Seq)
 	if state != wire.ClaimGranted {
-		s.voidClaim(cl.homes, &wire.ClaimRelease{Key: cl.msg.Key, Request: cl.msg.Request})
+		s.releaseClaim(cl.homes, &wire.ClaimRelease{Key: cl.msg.Key, Request: cl.msg.Request})
 	}
-	cl.answer <- claimError(state)
+	cl.result <- claimError(state)
 }
 
 func claimError(state wire.ClaimState) error {
--- a/internal/dispatch/fleet_overload_test.go
+++ b/internal/dispatch/fleet_overload_test.go
@@ -43,10 +43,10 @@
 	baselineCores = 0.042
 	// stateInterval is the interval at which a router receives the flows of all others.
 	stateInterval = 200 * time.Millisecond
-	// maxUsefulDelay is the processing delay from which replies of owners arrive too late.
-	maxUsefulDelay = 80 * time.Millisecond
-	modelDuration  = 16 * time.Second
-	windowSeconds  = 6
+	// maxUsefulLag is the lag from which replies of owners arrive too late.
+	maxUsefulLag  = 80 * time.Millisecond
+	modelDuration = 16 * time.Second
+	windowSeconds = 6
 )
 
 // clientAccount is an account of the model. Depending on the account, its callers reach one
@@ -85,7 +85,7 @@
 }
 
 // probe is a lag measurement and the time at which it is read.
-type probe struct{ readAt, delay time.Duration }
+type probe struct{ readAt, lag time.Duration }
 
 // overloadModel simulates the fleet and its accounts.
 type overloadModel struct {
@@ -251,7 +251,7 @@
 
 // handleRequest lets a router decide on a request, and reports whether it starts.
 func (f *overloadModel) handleRequest(r *fleetRouter, a *clientAccount, tokens, fairShare float64) bool {
-	delay := r.delay()
+	lag := r.lag()
 	req := front.Request{Account: a.name, Prompt: int64(tokens), Deadline: time.Now().Add(time.Minute)}
 	if err := r.s.d.CheckAdmission(req); err != nil {
 		if err.Code == "overloaded" && r.s.d.MayForward(req) {
@@ -260,7 +260,7 @@
 		r.backlog += earlyRefusalCost
 		return false
 	}
-	return f.process(r, a, tokens, fairShare, delay)
+	return f.process(r, a, tokens, fairShare, lag)
 }
 
 // forwardRequest forwards a request to another router of the zone, which may refuse it too.
@@ -276,23 +276,23 @@
 		to.backlog += earlyRefusalCost
 		return false
 	}
-	return f.process(to, a, tokens, fairShare, to.delay())
+	return f.process(to, a, tokens, fairShare, to.lag())
 }
 
 // process lets a router process an admitted request, and reports whether it starts.
-func (f *overloadModel) process(r *fleetRouter, a *clientAccount, tokens, fairShare float64, delay time.Duration) bool {
+func (f *overloadModel) process(r *fleetRouter, a *clientAccount, tokens, fairShare float64, lag time.Duration) bool {
 	r.s.core.CountRefused(r.s.now, a.key, tokens)
 	r.backlog += startCost
 	full := f.started.value >= engineTokensPerSecond && a.started.value >= fairShare
-	if delay >= maxUsefulDelay || full {
+	if lag >= maxUsefulLag || full {
 		return false
 	}
 	r.scheduleWork(streamCost)
 	return true
 }
 
-// delay returns the current processing delay.
-func (r *fleetRouter) delay() time.Duration {
+// lag returns the current processing lag.
+func (r *fleetRouter) lag() time.Duration {
 	return time.Duration(float64(r.backlog) / (r.cores - baselineCores))
 }
 
@@ -300,11 +300,11 @@
 func (r *fleetRouter) step(now time.Duration) {
 	r.advance(r.cores - baselineCores)
 	if now%lagInterval == 0 {
-		r.probes = append(r.probes, probe{now + r.delay(), r.delay()})
+		r.probes = append(r.probes, probe{now + r.lag(), r.lag()})
 	}
 	for len(r.probes) > 0 && now >= r.probes[0].readAt {
 		r.s.now = clockStart + now
-		r.s.observeDelay(r.probes[0].delay)
+		r.s.observeLag(r.probes[0].lag)
 		r.s.updateAdmission()
 		r.probes = r.probes[1:]
 	}
--- a/internal/dispatch/lag.go
+++ b/internal/dispatch/lag.go
@@ -54,6 +54,6 @@
 }
 
 // lagEvent is a lag measurement.
-type lagEvent struct{ delay time.Duration }
+type lagEvent struct{ lag time.Duration }
 
-func (e lagEvent) apply(s *state) { s.observeDelay(e.delay) }
+func (e lagEvent) apply(s *state) { s.observeLag(e.lag) }
--- a/internal/dispatch/loadstats.go
+++ b/internal/dispatch/loadstats.go
@@ -13,9 +13,9 @@
 	minOverloadDuration = 2 * time.Second
 )
 
-// observeDelay records a measured delay of this process.
-func (s *state) observeDelay(delay time.Duration) {
-	s.estimator.ObserveLag(s.now, delay)
+// observeLag records a lag measurement of this process.
+func (s *state) observeLag(lag time.Duration) {
+	s.estimator.ObserveLag(s.now, lag)
 	s.step(admit.ProcessingLag{Lag: s.estimator.Lag()})
 	s.updateOverloaded()
 }
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -95,7 +95,7 @@
 	r.advance(smallRouterCores)
 	if now%(50*time.Millisecond) == 0 {
 		r.s.now = time.Hour + now
-		r.s.observeDelay(time.Duration(float64(r.backlog) / smallRouterCores))
+		r.s.observeLag(time.Duration(float64(r.backlog) / smallRouterCores))
 		r.s.replan()
 	}
 	r.healthCheck(now)
--- a/internal/dispatch/roster.go
+++ b/internal/dispatch/roster.go
@@ -34,12 +34,12 @@
 	}
 }
 
-// sendFullRoster sends the whole roster to another router. If answer is set, it also requests
+// sendFullRoster sends the whole roster to another router. If wantReply is set, it also requests
 // that router's roster.
-func (s *state) sendFullRoster(to string, answer bool) {
+func (s *state) sendFullRoster(to string, wantReply bool) {
 	l := s.link(to)
 	l.rosterDigest, l.rosterVersion = s.rosterDigest, s.rosterVersion
-	s.sendRosterEntries(to, &wire.Roster{WantReply: answer, Digest: s.rosterDigest}, func(string) bool { return true })
+	s.sendRosterEntries(to, &wire.Roster{WantReply: wantReply, Digest: s.rosterDigest}, func(string) bool { return true })
 }
 
 // sendRosterChanges sends another router what changed in the roster since it was last sent.
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -213,9 +213,9 @@
 	return list
 }
 
-// Messages pass through the real codec.
 func (r *simRouter) SetIncarnation(uint64) {}
 
+// Send encodes the message with the real codec.
 func (r *simRouter) Send(to string, msg any) {
 	l, ok := r.out[to]
 	if !ok {
@@ -451,7 +451,7 @@
 	}
 }
 
-// request sends a client request to a router.
+// request sends a caller's request to a router.
 func (sim *simulation) request(id, router, account, model, key string, tokens int64, wait time.Duration) {
 	r := sim.routers[router]
 	a := &simRequest{id: id, router: router, key: key, tokens: tokens, inc: r.inc,
@@ -472,7 +472,7 @@
 		sim.keyFirstUse[key] = sim.now.Milliseconds()
 	}
 	msg := &wire.Claim{Key: account + "\x00" + key, Request: id, At: sim.keyFirstUse[key]}
-	r.step(claimEvent{&pendingClaim{msg: msg, answer: a.claim}})
+	r.step(claimEvent{&pendingClaim{msg: msg, result: a.claim}})
 }
 
 func (sim *simulation) queueRequest(r *simRouter, a *simRequest) {
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// logEjections logs which backend servers were ejected or reinstated since the last call.
+// logEjections logs which backend servers were ejected or readmitted since the last call.
 func (s *state) logEjections() {
 	current := s.core.Ejected()
 	for name, u := range current {
--- a/internal/front/connections_test.go
+++ b/internal/front/connections_test.go
@@ -28,7 +28,7 @@
 	return front.WithCallerLimits(c)
 }
 
-// caller is a client connection that a test keeps open.
+// caller is a caller's connection that a test keeps open.
 type caller struct {
 	net.Conn
 	reader *bufio.Reader
@@ -190,7 +190,7 @@
 }
 
 // BenchmarkConnectionMemory reports heap and stack memory per connection, of the server and
-// the client together: for idle connections and for requests with a partial body.
+// the caller together: for idle connections and for requests with a partial body.
 func BenchmarkConnectionMemory(b *testing.B) {
 	const connections = 1000
 	head := "POST /services/scores/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\nContent-Length: %d\r\n\r\n"
--- a/internal/front/early_bench_test.go
+++ b/internal/front/early_bench_test.go
@@ -21,7 +21,7 @@
 )
 
 // BenchmarkEarlyRefusal measures refusals before the body is read, one connection for each,
-// with log and metrics. Client and server share the process.
+// with log and metrics. Caller and server share the process.
 func BenchmarkEarlyRefusal(b *testing.B) {
 	for name, shedding := range map[string]bool{"HTTPServer": false, "Early": true} {
 		b.Run(name, func(b *testing.B) { benchmarkRefusal(b, shedding) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,7 +47,7 @@
 	Dispatch *dispatch.Dispatcher
 
 	core core
-	// forwarder forwards client connections to other routers; it may be nil.
+	// forwarder forwards callers' connections to other routers; it may be nil.
 	forwarder   *forward.Forwarder
 	admin       *admin.Server
 	metrics     *metrics.Metrics
@@ -78,7 +78,7 @@
 type Platform struct {
 	// Source returns a reader of the platform at an address, host and port.
 	Source func(address string, d Dialer) dispatch.Source
-	// Callers and Backends name the headers used with clients and backend servers.
+	// Callers and Backends name the headers used with callers and backend servers.
 	Callers  front.HeaderConfig
 	Backends backend.HeaderConfig
 }
@@ -125,7 +125,7 @@
 // WithObserver adds an observer of request outcomes.
 func WithObserver(ob front.Observer) Option { return func(o *options) { o.observer = ob } }
 
-// WithScheduler replaces the scheduler that serves clients, for baseline measurements.
+// WithScheduler replaces the scheduler that serves callers, for baseline measurements.
 func WithScheduler(f func(*router.Router) front.Scheduler) Option {
 	return func(o *options) { o.scheduler = f }
 }
@@ -231,12 +231,12 @@
 		dispatch.WithRetryBudget(retryBudget(s.Retries)), dispatch.WithClock(n.clock), dispatch.WithWeightedAccounts(), dispatch.WithLoadReader(n.loads))
 }
 
-// forwardedBatchShare is the share of the event delay limit for which responses to another
-// router's clients are batched.
-const forwardedBatchShare = 0.25
+// forwardedBatchFraction is the fraction of the event delay limit for which responses to another
+// router's callers are batched.
+const forwardedBatchFraction = 0.25
 
 func (n *Node) forwardedBatchDelay() time.Duration {
-	return time.Duration(forwardedBatchShare * float64(n.Settings.Callers.MaxEventDelay))
+	return time.Duration(forwardedBatchFraction * float64(n.Settings.Callers.MaxEventDelay))
 }
 
 func (n *Node) peerOptions(o options, t tlsConfigs) []peer.Option {
@@ -312,25 +312,25 @@
 }
 
 const (
-	// callerDescriptorShare is the share of file descriptors, less the reserved ones, for
-	// client connections. Connections to backend servers and routers use the rest.
-	callerDescriptorShare = 0.6
-	reservedDescriptors   = 200
-	// connectionMemory is the memory of a client connection with its request and its
+	// callerDescriptorFraction is the fraction of file descriptors, less the reserved ones, for
+	// callers' connections. Connections to backend servers and routers use the rest.
+	callerDescriptorFraction = 0.6
+	reservedDescriptors      = 200
+	// connectionMemory is the memory of a caller's connection with its request and its
 	// connection to the backend server, in bytes, including garbage.
 	connectionMemory = 64 << 10
-	// connectionMemoryShare is the share of the memory for client connections.
-	connectionMemoryShare = 0.5
+	// connectionMemoryFraction is the fraction of the memory for callers' connections.
+	connectionMemoryFraction = 0.5
 )
 
-// maxConnections returns the limit on client connections, 0 for none.
+// maxConnections returns the limit on callers' connections, 0 for none.
 func maxConnections(m config.Machine) int {
 	limit := 0
 	if m.Descriptors > reservedDescriptors {
-		limit = int(callerDescriptorShare * float64(m.Descriptors-reservedDescriptors))
+		limit = int(callerDescriptorFraction * float64(m.Descriptors-reservedDescriptors))
 	}
 	if m.MemoryMB > 0 {
-		byMemory := int(connectionMemoryShare * float64(m.MemoryMB<<20) / connectionMemory)
+		byMemory := int(connectionMemoryFraction * float64(m.MemoryMB<<20) / connectionMemory)
 		if limit == 0 || byMemory < limit {
 			limit = byMemory
 		}
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -19,7 +19,7 @@
 // configure its address.
 type listeners struct{ callers, peers, admin, readiness net.Listener }
 
-// noKeepAlive disables TCP keep-alive, which costs system calls for each connection. Client
+// noKeepAlive disables TCP keep-alive, which costs system calls for each connection. Callers'
 // connections have timeouts for reads, writes and idle time.
 var noKeepAlive = net.ListenConfig{KeepAlive: -1}
 
@@ -172,7 +172,7 @@
 	}
 }
 
-// readiness also reports overload while client connections are refused, so that load
+// readiness also reports overload while callers' connections are refused, so that load
 // balancers choose another router.
 type readiness struct {
 	admin.Source
--- a/internal/node/work.go
+++ b/internal/node/work.go
@@ -13,7 +13,7 @@
 	processorTime time.Duration
 	// refusedEarly counts requests refused before their body was read.
 	requests, refusedEarly int64
-	// events counts forwarded stream events, flushes writes to clients, messages those
+	// events counts forwarded stream events, flushes writes to callers, messages those
 	// received from and sent to other routers.
 	events, flushes, messages int64
 }
--- a/pkg/admit/account.go
+++ b/pkg/admit/account.go
@@ -158,11 +158,11 @@
 		return nil
 	}
 	var fractions map[wire.NameHash]float64
-	lagging := as.anyLagging(now)
+	underserved := as.anyUnderserved(now)
 	for key, a := range as.byKey {
 		f := a.flow(now)
 		demand, limit := a.currentDemand(now, f), overcommit*as.fairShare
-		if lagging && f.started > as.fairShare {
+		if underserved && f.started > as.fairShare {
 			limit = as.fairShare
 		}
 		if key == 0 || demand <= limit {
@@ -176,20 +176,19 @@
 	return fractions
 }
 
-// laggingFraction of its fair share is the least that a waiting account must get for others to
-// be admitted above theirs.
-const laggingFraction = 0.7
+// underservedFraction of its fair share is the rate below which a waiting account is
+// underserved. Others are then not admitted above their fair share.
+const underservedFraction = 0.7
 
-// laggingMinDemand is the least demand of such an account relative to the fair share. The rates
+// underservedMinDemand is the least demand of such an account, relative to the fair share. The rates
 // of smaller accounts vary too much.
-const laggingMinDemand = 0.5
+const underservedMinDemand = 0.5
 
-// anyLagging reports whether a waiting account gets so much less than its fair share that no
-// other one may get more than its own.
-func (as *accounts) anyLagging(now time.Duration) bool {
+// anyUnderserved reports whether any waiting account gets much less than its fair share.
+func (as *accounts) anyUnderserved(now time.Duration) bool {
 	for key, a := range as.byKey {
 		f := a.flow(now)
-		if key != 0 && f.demand > waitingThreshold*f.started && f.demand >= laggingMinDemand*as.fairShare && f.started < laggingFraction*min(f.demand, as.fairShare) {
+		if key != 0 && f.demand > waitingThreshold*f.started && f.demand >= underservedMinDemand*as.fairShare && f.started < underservedFraction*min(f.demand, as.fairShare) {
 			return true
 		}
 	}
--- a/pkg/admit/admission.go
+++ b/pkg/admit/admission.go
@@ -6,7 +6,7 @@
 	// usableTargetFraction is the fraction of the remaining target within which the first event
 	// must be predicted. The rest absorbs prediction errors.
 	usableTargetFraction = 0.8
-	// aheadFraction of the shortest target of a service bounds the reading time queued ahead of
+	// aheadFraction of the shortest target of a service bounds the prefill time queued ahead of
 	// any request. A higher value leaves no slots to requests with short targets, a lower one
 	// leaves engines idle.
 	aheadFraction = 0.6
@@ -17,13 +17,13 @@
 	startupPeriod   = time.Second
 	discoveryPeriod = 250 * time.Millisecond
 	// longPromptFraction of its target is the longest time that a prompt may wait behind others
-	// if reading it takes longer than that.
+	// if its own prefill takes longer than that.
 	longPromptFraction = 0.25
 	// queuedPerSlot is the number of requests per slot that a plain service may have, since it
 	// queues requests itself.
 	queuedPerSlot = 2.5
 	// spillFraction of the usual limits applies to a request at a backend server that has to
-	// read its shared prefix again. This pays off only if that server is much less loaded.
+	// process its shared prefix again. This pays off only if that server is much less loaded.
 	spillFraction = 0.5
 	// extraSlotFraction is added to the fraction of slots that an account above its fair share
 	// may use.
@@ -39,7 +39,7 @@
 }
 
 // canAdmit reports whether a request can start at a backend server now.
-func (c *Core) canAdmit(svc *service, s *server, a *slotRequest, toRead int64) bool {
+func (c *Core) canAdmit(svc *service, s *server, a *slotRequest, prefill int64) bool {
 	o := c.ownerStateOf(s)
 	if s.isWarming(c.now) && !c.mayGrantWarming(s) {
 		return false
@@ -64,35 +64,35 @@
 		return false
 	}
 	if c.isStartingUp() {
-		return o.unread == 0
+		return o.prefill == 0
 	}
-	if o.unread == 0 && (!a.Spill || a.CopyPrefix) && (fraction == 1 || o.running < s.Slots/2) {
+	if o.prefill == 0 && (!a.Spill || a.CopyPrefix) && (fraction == 1 || o.running < s.Slots/2) {
 		// Waiting does not help here, and only a new request updates the latency estimate.
 		return true
 	}
-	return c.meetsTarget(svc, s, a, toRead, fraction) || c.admitsLongPrompt(svc, s, a, toRead, fraction)
+	return c.meetsTarget(svc, s, a, prefill, fraction) || c.admitsLongPrompt(svc, s, a, prefill, fraction)
 }
 
 // meetsTarget reports whether the first event of a request is predicted within a fraction of
 // its remaining target.
-func (c *Core) meetsTarget(svc *service, s *server, a *slotRequest, toRead int64, fraction float64) bool {
+func (c *Core) meetsTarget(svc *service, s *server, a *slotRequest, prefill int64, fraction float64) bool {
 	remaining := (a.due - c.now).Seconds()
-	ahead := s.owned.unread
+	ahead := s.owned.prefill
 	if c.exceedsShare(a.Account) {
 		// Count the load that this request adds, so that other accounts find a slot at once.
-		ahead += toRead
+		ahead += prefill
 	}
 	if s.health.slowness()*svc.latency.slope()*float64(ahead) > aheadFraction*svc.shortestTarget.get(c.now).Seconds() {
 		return false
 	}
-	expected := s.health.slowness() * svc.latency.predict(s.owned.unread+toRead).Seconds()
+	expected := s.health.slowness() * svc.latency.predict(s.owned.prefill+prefill).Seconds()
 	return expected <= usableTargetFraction*fraction*remaining
 }
 
-// admitsLongPrompt reports whether a prompt takes too long to read to meet its target anywhere,
+// admitsLongPrompt reports whether the prefill of a prompt takes too long to meet its target anywhere,
 // but waits for little else at this backend server.
-func (c *Core) admitsLongPrompt(svc *service, s *server, a *slotRequest, toRead int64, fraction float64) bool {
+func (c *Core) admitsLongPrompt(svc *service, s *server, a *slotRequest, prefill int64, fraction float64) bool {
 	limit := longPromptFraction * (time.Duration(a.TargetMillis) * time.Millisecond).Seconds()
-	behind := s.health.slowness() * svc.latency.slope() * float64(s.owned.unread)
-	return behind <= fraction*limit && svc.latency.slope()*float64(toRead) > limit
+	behind := s.health.slowness() * svc.latency.slope() * float64(s.owned.prefill)
+	return behind <= fraction*limit && svc.latency.slope()*float64(prefill) > limit
 }
--- a/pkg/admit/admit_test.go
+++ b/pkg/admit/admit_test.go
@@ -40,19 +40,19 @@
 	return counts
 }
 
-// prefixReads returns the backend servers that had to read the shared prefix, because they got
-// the prompt without having the prefix or copying it.
-func (w *world) prefixReads() []string {
+// prefixMisses returns the backend servers that had to process the shared prefix, because they
+// neither had it nor copied it.
+func (w *world) prefixMisses() []string {
 	order := slices.SortedFunc(maps.Values(w.starts), func(a, b startRecord) int { return cmp.Compare(a.ID, b.ID) })
 	sent := map[string]bool{}
-	var reads []string
+	var misses []string
 	for _, s := range order {
 		if !sent[s.Backend.Name] && s.CopyPrefixFrom == "" {
-			reads = append(reads, s.Backend.Name)
+			misses = append(misses, s.Backend.Name)
 		}
 		sent[s.Backend.Name] = true
 	}
-	return reads
+	return misses
 }
 
 // TestRarePromptStaysOnOneServer: requests for the same prompt, one at a time at all routers,
@@ -71,7 +71,7 @@
 }
 
 // TestFrequentPromptSpreads: a prompt that is too frequent for one backend server must spread
-// over several, few of which read its shared prefix.
+// over several, few of which process its shared prefix.
 func TestFrequentPromptSpreads(t *testing.T) {
 	w := newWorld(1, 3, zones, 4)
 	w.addLoad("moka", 120, w.order, admit.Request{Prefix: 77, Prompt: 3000, Shared: 1000, Output: 100}, 4*time.Second)
@@ -82,7 +82,7 @@
 	if len(w.startsByServer()) < 3 {
 		t.Errorf("the prompt was read only at %v", w.startsByServer())
 	}
-	if reads := w.prefixReads(); len(reads) > len(zones) {
+	if reads := w.prefixMisses(); len(reads) > len(zones) {
 		t.Errorf("the shared prefix was read at %v, want at most one per zone", reads)
 	}
 }
--- a/pkg/admit/alive.go
+++ b/pkg/admit/alive.go
@@ -37,7 +37,7 @@
 		s.alive = interval{to: max(s.alive.to, sent)}
 		c.suspects.MarkAlive(suspect.Server(s.key), s.alive.from, s.alive.to)
 	}
-	alive := interval{from: sent + aliveMargin, to: c.now - aliveMargin - delayFactor*c.delay}
+	alive := interval{from: sent + aliveMargin, to: c.now - aliveMargin - lagFactor*c.lag}
 	if sent < c.pause.to {
 		// The response may have arrived at any time during a pause of this process.
 		alive.to = min(alive.to, c.pause.from)
--- a/pkg/admit/ask.go
+++ b/pkg/admit/ask.go
@@ -13,9 +13,9 @@
 	// replyTimeout bounds the wait for an owner's reply. It allows for two round trips between
 	// regions that are 8 ms apart.
 	replyTimeout = 40 * time.Millisecond
-	// delayFactor is how often the router's own processing delay is added to timeouts: once for
-	// the reply, and once for a change of the delay before it is measured again.
-	delayFactor = 2
+	// lagFactor is how often the router's own lag is added to timeouts: once for
+	// the reply, and once for a change of the lag before it is measured again.
+	lagFactor = 2
 	// grantValidFor is the longest pause of the process after which a granted slot may still be
 	// used: the owner reassigns the slots of a holder that has been silent for AttemptTTL, and
 	// sooner those that the holder does not list. Messages that are processed within
@@ -28,8 +28,8 @@
 	// spillAfterFraction of its maximum wait must have passed before a request may go to a
 	// backend server that does not have its shared prefix.
 	spillAfterFraction = 0.7
-	// smallPrefixFraction is the fraction of a prompt up to which reading the shared prefix
-	// again is cheap.
+	// smallPrefixFraction is the fraction of a prompt up to which processing the shared
+	// prefix again is cheap.
 	smallPrefixFraction = 0.25
 	// maxAsks bounds the slot requests per request.
 	maxAsks = 4
@@ -39,7 +39,7 @@
 	// defaultTarget is used if the request has no target.
 	defaultTarget = time.Second
 	// minRetryAfter is the least retry delay of a request that got no slot; a random part of up
-	// to the same length is added. An engine reads a medium-sized prompt in that time.
+	// to the same length is added. An engine processes a medium-sized prompt in that time.
 	minRetryAfter = 60 * time.Millisecond
 	// retryAfterNoServer is the retry delay if the service has no backend server.
 	retryAfterNoServer = 250 * time.Millisecond
@@ -185,7 +185,7 @@
 	if !r.awaitsReply() {
 		return r.MaxWait
 	}
-	return r.MaxWait + delayFactor*c.delay
+	return r.MaxWait + lagFactor*c.lag
 }
 
 // retryAfter returns a random retry delay for a refused request.
@@ -207,7 +207,7 @@
 func (c *Core) expireAsks(r *request) bool {
 	for _, a := range r.asks {
 		// Replies could not be processed during a pause of this process.
-		if a.state != askSent || c.now-max(a.sentAt, c.pause.to) < replyTimeout+delayFactor*c.delay {
+		if a.state != askSent || c.now-max(a.sentAt, c.pause.to) < replyTimeout+lagFactor*c.lag {
 			continue
 		}
 		a.state = askUnanswered
@@ -231,18 +231,18 @@
 	if c.weighted != nil || !c.accepts(s) || s.isWarming(c.now) || float64(s.running(c.now)) >= localSlotFraction*float64(s.Slots) {
 		return false
 	}
-	if c.service(r.Service).engine && s.ownUnread() > 0 {
+	if c.service(r.Service).engine && s.ownPrefill() > 0 {
 		return false
 	}
-	r.unread = max(1, r.Prompt-r.Shared)
-	// Without a copy the engine would read the shared prefix again.
+	r.prefill = max(1, r.Prompt-r.Shared)
+	// Without a copy the engine would process the shared prefix again.
 	from := ""
 	if r.Prefix != 0 && !s.prefixes.has(r.Prefix, c.now) {
 		from = a.source.address()
 		c.recordCopy(s, r.Prefix)
 	}
 	c.startRequest(r, s, Start{CopyPrefixFrom: from, Reason: reasonOwnerTimeout, Running: s.running(c.now)})
-	c.notifyOwner(r, &wire.RequestUpdate{Kind: wire.RequestStarted, PrefillTokens: r.unread})
+	c.notifyOwner(r, &wire.RequestUpdate{Kind: wire.RequestStarted, PrefillTokens: r.prefill})
 	return true
 }
 
@@ -280,10 +280,10 @@
 	})
 }
 
-// handleReply processes an owner's reply to a slot request.
-func (c *Core) handleReply(from string, reply *wire.SlotReply) {
+// handleSlotReply processes an owner's reply to a slot request.
+func (c *Core) handleSlotReply(from string, reply *wire.SlotReply) {
 	if s, ok := c.servers[reply.Server]; ok {
-		s.reported, s.reportedAt = occupancy{running: reply.Running, unread: reply.PrefillTokens}, c.now
+		s.reported, s.reportedAt = occupancy{running: reply.Running, prefill: reply.PrefillTokens}, c.now
 		if reply.State != wire.SlotGranted {
 			s.busyUntil = c.now + busyPeriod
 		}
@@ -341,7 +341,7 @@
 
 // startGranted starts a request for which a slot was granted.
 func (c *Core) startGranted(r *request, a *ask, reply *wire.SlotReply) {
-	r.unread = reply.OwnPrefillTokens
+	r.prefill = reply.OwnPrefillTokens
 	if r.Prefix != 0 && (a.reason != reasonPreferred || reply.CopyPrefix || reply.OwnPrefillTokens > r.Prompt-r.Shared) {
 		c.recordCopy(a.server, r.Prefix)
 	}
--- a/pkg/admit/capacity.go
+++ b/pkg/admit/capacity.go
@@ -10,7 +10,7 @@
 )
 
 // CapacityEstimator estimates how many requests per second a router can process. It starts from
-// the processors available and adjusts the estimate by the delay with which the router
+// the processors available and adjusts the estimate by the router's lag: how late it
 // processes received messages.
 //
 // The estimate is an absolute rate. A fraction of the arriving requests would be wrong as soon
@@ -19,9 +19,9 @@
 	// rate is the number of requests per second that it can process without refusals, between
 	// minRate and maxRate.
 	rate, minRate, maxRate float64
-	// delay is the moving average of the processing delay. throttle, from 0 to 1, scales the
+	// lag is the moving average of the processing lag. throttle, from 0 to 1, scales the
 	// rate until the backlog has been processed.
-	delay    time.Duration
+	lag      time.Duration
 	throttle float64
 	// cutAt is when the rate was last reduced.
 	cutAt time.Duration
@@ -47,21 +47,21 @@
 	// localWorkFraction is the fraction of its time that a router keeps for its own requests
 	// while it forwards others.
 	localWorkFraction = 0.25
-	// delayThreshold is the delay from which a router admits fewer requests. Each message to
+	// lagThreshold is the lag from which a router admits fewer requests. Each message to
 	// and from an owner is delayed by as much, and the shortest maximum waits are 50 ms. From
 	// delayLimit on it admits none.
-	delayThreshold = 12 * time.Millisecond
-	delayLimit     = 60 * time.Millisecond
-	// delayWeight is the weight of a new sample.
-	delayWeight = 0.3
+	lagThreshold = 12 * time.Millisecond
+	lagLimit     = 60 * time.Millisecond
+	// lagWeight is the weight of a new sample.
+	lagWeight = 0.3
 	// rateDecrease is the relative reduction of the rate at delayLimit. Reductions are at least
-	// rateCutInterval and the current delay apart, since messages received before the last one
+	// rateCutInterval and the current lag apart, since messages received before the last one
 	// do not reflect it. rateIncrease is the relative increase with each plan that admits less
 	// than the demand.
 	rateDecrease    = 0.1
 	rateCutInterval = 150 * time.Millisecond
 	rateIncrease    = 0.02
-	// busyFraction is the fraction of its rate from which a delay is attributed to requests.
+	// busyFraction is the fraction of its rate from which a lag is attributed to requests.
 	busyFraction = 0.5
 	// demandWeight is the weight of a new sample.
 	demandWeight = 0.4
@@ -81,12 +81,12 @@
 	return &CapacityEstimator{rate: rate, minRate: minRateFraction * rate, maxRate: maxRateFraction * rate, throttle: 1, demand: map[wire.NameHash]float64{}, admitted: 1}
 }
 
-// ObserveLag adds a sample of the processing delay.
-func (e *CapacityEstimator) ObserveLag(now, delay time.Duration) {
-	e.delay += time.Duration(delayWeight * float64(delay-e.delay))
-	excess := float64(delay-delayThreshold) / float64(delayLimit-delayThreshold)
+// ObserveLag adds a sample of the processing lag.
+func (e *CapacityEstimator) ObserveLag(now, lag time.Duration) {
+	e.lag += time.Duration(lagWeight * float64(lag-e.lag))
+	excess := float64(lag-lagThreshold) / float64(lagLimit-lagThreshold)
 	e.throttle = 1 - min(1, max(0, excess))
-	if excess <= 0 || now-e.cutAt < max(rateCutInterval, delay) || e.totalDemand()+refusalCost*e.refusals < busyFraction*e.rate {
+	if excess <= 0 || now-e.cutAt < max(rateCutInterval, lag) || e.totalDemand()+refusalCost*e.refusals < busyFraction*e.rate {
 		return
 	}
 	e.cutAt = now
@@ -163,8 +163,8 @@
 // Rate returns the number of requests per second that can be processed without refusals.
 func (e *CapacityEstimator) Rate() float64 { return e.rate }
 
-// Lag returns the moving average of the processing delay.
-func (e *CapacityEstimator) Lag() time.Duration { return e.delay }
+// Lag returns the moving average of the processing lag.
+func (e *CapacityEstimator) Lag() time.Duration { return e.lag }
 
 // maxMinShare returns the share at which all demands up to it add up to the total.
 func maxMinShare(demands []float64, total float64) float64 {
--- a/pkg/admit/capacity_test.go
+++ b/pkg/admit/capacity_test.go
@@ -16,8 +16,8 @@
 )
 
 // simulateRouter runs a router with a fraction of a processor at a request rate. It returns the
-// rate of processed requests and the mean processing delay after an initial period.
-func simulateRouter(processor, perSecond float64, duration time.Duration) (processed float64, delay time.Duration) {
+// rate of processed requests and the mean processing lag after an initial period.
+func simulateRouter(processor, perSecond float64, duration time.Duration) (processed float64, lag time.Duration) {
 	const step = 50 * time.Millisecond
 	const settleTime = 2 * time.Second
 	e := admit.NewCapacityEstimator(processor)
@@ -44,19 +44,19 @@
 }
 
 // TestEstimatorUsesProcessor: an overloaded router must use nearly all of its processor time
-// with little delay.
+// with little lag.
 func TestEstimatorUsesProcessor(t *testing.T) {
 	const processor = 0.19
 	for name, perSecond := range map[string]float64{"slight overload": 250, "twice the capacity": 400, "heavy overload": 600} {
 		t.Run(name, func(t *testing.T) {
 			capacity := (processor - perSecond*refusalCost.Seconds()) / (processCost - refusalCost).Seconds()
-			processed, delay := simulateRouter(processor, perSecond, 20*time.Second)
-			t.Logf("processes %.0f of %.0f requests per second, capacity %.0f, delay %v", processed, perSecond, capacity, delay)
+			processed, lag := simulateRouter(processor, perSecond, 20*time.Second)
+			t.Logf("processes %.0f of %.0f requests per second, capacity %.0f, lag %v", processed, perSecond, capacity, lag)
 			if processed < 0.85*capacity {
 				t.Errorf("processes %.0f requests per second, capacity %.0f", processed, capacity)
 			}
-			if delay > 40*time.Millisecond {
-				t.Errorf("mean delay %v", delay)
+			if lag > 40*time.Millisecond {
+				t.Errorf("mean lag %v", lag)
 			}
 		})
 	}
--- a/pkg/admit/choose.go
+++ b/pkg/admit/choose.go
@@ -22,8 +22,8 @@
 }
 
 // chooseByPrefix chooses among backend servers that are in prefix order. It prefers the first
-// in that order, then others that have read the prefix. If neither has a free slot and the
-// request may wait no longer, it takes the least loaded one. A rare prefix is thus read at one
+// in that order, then others that have the prefix. If neither has a free slot and the
+// request may wait no longer, it takes the least loaded one. A rare prefix is thus processed at one
 // backend server, a frequent one at as many as needed.
 func (c *Core) chooseByPrefix(svc *service, r *request, eligible []*server) (*server, string) {
 	preferred := c.preferredServer(svc, r.Prefix)
@@ -41,14 +41,14 @@
 	if r.isQueued() && !c.maySpill(r) {
 		return nil, ""
 	}
-	return c.leastUnread(eligible), reasonSpill
+	return c.leastPrefill(eligible), reasonSpill
 }
 
-// leastUnread returns the first of the backend servers whose owners recently reported the
-// fewest unread tokens.
-func (c *Core) leastUnread(eligible []*server) *server {
+// leastPrefill returns the first of the backend servers whose owners recently reported the
+// fewest prefill tokens.
+func (c *Core) leastPrefill(eligible []*server) *server {
 	return slices.MinFunc(eligible, func(a, b *server) int {
-		return cmp.Compare(a.reportedUnread(c.now), b.reportedUnread(c.now))
+		return cmp.Compare(a.reportedPrefill(c.now), b.reportedPrefill(c.now))
 	})
 }
 
--- a/pkg/admit/core.go
+++ b/pkg/admit/core.go
@@ -36,7 +36,7 @@
 	CopyPrefixFrom string
 	// Reason is a code for why this backend server was chosen.
 	Reason string
-	// TokensAhead is the number of prompt tokens that the backend server reads before the first
+	// TokensAhead is the number of prompt tokens that the backend server processes before the first
 	// event of the response; ExpectedFirstEvent is the predicted time to that event.
 	TokensAhead        int64
 	ExpectedFirstEvent time.Duration
@@ -123,8 +123,8 @@
 	startedAt, firstPeerAt time.Duration
 	// pause is the last interval during which this process did not run.
 	pause interval
-	// delay is the current delay in processing received messages.
-	delay    time.Duration
+	// lag is the current delay between receiving messages and processing them.
+	lag      time.Duration
 	syncedAt time.Duration
 	sweptAt  time.Duration
 	// localMsgs are messages from this router to itself.
@@ -230,9 +230,9 @@
 func (c *Core) receive(from string, msg any) {
 	switch m := msg.(type) {
 	case *wire.SlotRequest:
-		c.handleAsk(from, m)
+		c.handleSlotRequest(from, m)
 	case *wire.SlotReply:
-		c.handleReply(from, m)
+		c.handleSlotReply(from, m)
 	case *wire.RequestUpdate:
 		c.handleRequestUpdate(from, m)
 	case *wire.RequestSync:
@@ -257,7 +257,7 @@
 // ProcessingLag reports how long received messages wait before this router processes them.
 type ProcessingLag struct{ Lag time.Duration }
 
-func (e ProcessingLag) apply(c *Core) { c.delay = max(0, e.Lag) }
+func (e ProcessingLag) apply(c *Core) { c.lag = max(0, e.Lag) }
 
 // NeedsTicks reports whether requests wait, at this router or in the queues of its backend
 // servers.
--- a/pkg/admit/crash_world_test.go
+++ b/pkg/admit/crash_world_test.go
@@ -196,7 +196,7 @@
 	x.retry(id)
 }
 
-// retry lets the holder retry a failed request, or its client send it again.
+// retry lets the holder retry a failed request, or its caller send it again.
 func (x *crashSim) retry(id uint64) {
 	w := x.w
 	a := w.requests[id]
@@ -205,7 +205,7 @@
 		return
 	}
 	if x.tries[id] > 1 {
-		x.retryByClient(id)
+		x.retryByCaller(id)
 		return
 	}
 	r := a.request
@@ -220,8 +220,8 @@
 // maxTries bounds the attempts of a harmless request.
 const maxTries = 4
 
-// retryByClient sends a request again, to a random router.
-func (x *crashSim) retryByClient(id uint64) {
+// retryByCaller sends a request again, to a random router.
+func (x *crashSim) retryByCaller(id uint64) {
 	w := x.w
 	w.schedule(200*time.Millisecond, func() {
 		r := w.requests[id].request
--- a/pkg/admit/delay_test.go
+++ b/pkg/admit/delay_test.go
@@ -49,17 +49,17 @@
 	}})
 }
 
-// TestDelayedRouterWaitsForReply: a router with a processing delay must neither refuse a
+// TestLaggingRouterWaitsForReply: a router with a processing lag must neither refuse a
 // request nor admit it locally while the owner's reply may be waiting to be processed.
-func TestDelayedRouterWaitsForReply(t *testing.T) {
+func TestLaggingRouterWaitsForReply(t *testing.T) {
 	for name, tc := range map[string]struct {
-		delay time.Duration
-		want  bool
-	}{"no delay": {0, true}, "delayed": {30 * time.Millisecond, false}} {
+		lag  time.Duration
+		want bool
+	}{"no lag": {0, true}, "lagging": {30 * time.Millisecond, false}} {
 		t.Run(name, func(t *testing.T) {
 			c := newNonOwner(t)
 			now := 3 * time.Second
-			c.Step(now, admit.ProcessingLag{Lag: tc.delay})
+			c.Step(now, admit.ProcessingLag{Lag: tc.lag})
 			submit(c, now, 1)
 			started, refused := outcome(c, now, now+90*time.Millisecond, 1)
 			if started != tc.want || refused != nil {
--- a/pkg/admit/fetch.go
+++ b/pkg/admit/fetch.go
@@ -7,7 +7,7 @@
 )
 
 // minCopyTokens is the least size of a shared prefix that is copied from another backend
-// server. A copy takes a few milliseconds, in which an engine reads some hundred tokens, but
+// server. A copy takes a few milliseconds, in which an engine processes some hundred tokens, but
 // leaves the engine free for other prompts.
 const minCopyTokens = 64
 
@@ -16,7 +16,7 @@
 const newServerGap = time.Second
 
 // copySource returns the backend server from which a request's shared prefix can be copied to
-// another one, nil if there is none. It prefers those known to have read the prefix, then the
+// another one, nil if there is none. It prefers those known to have the prefix, then the
 // preferred server of each zone, then servers that a new one may have replaced as the preferred
 // one.
 func (c *Core) copySource(r *request, to *server) *server {
--- a/pkg/admit/fetch_test.go
+++ b/pkg/admit/fetch_test.go
@@ -40,7 +40,7 @@
 }
 
 // TestPrefixIsCopiedOnce: engines that get a frequent prompt must copy its shared prefix from
-// one that has read it, once each.
+// one that has it, once each.
 func TestPrefixIsCopiedOnce(t *testing.T) {
 	w := newWorld(1, 2, zones[:1], 4)
 	w.addLoad("moka", 60, w.order, admit.Request{Prefix: 77, Prompt: 6000, Shared: 4000, Output: 50}, 4*time.Second)
@@ -99,7 +99,7 @@
 			submit(w)
 			w.run(3 * time.Second)
 			if from := w.copySources(0); from[""] != prompts {
-				t.Fatalf("copy sources of unread prompts: %v", from)
+				t.Fatalf("copy sources of new prompts: %v", from)
 			}
 			w.setServers(3, tc.marks)
 			submit(w)
--- a/pkg/admit/health.go
+++ b/pkg/admit/health.go
@@ -23,7 +23,7 @@
 	Unreachable
 	// Refused: the backend server did not accept the request.
 	Refused
-	// Unknown: no information, for example because the client disconnected.
+	// Unknown: no information, for example because the caller disconnected.
 	Unknown
 )
 
@@ -89,13 +89,13 @@
 	h.ejectedUntil, h.ejections, h.probedAt = 0, 0, 0
 }
 
-func (h *health) noteStarted(now time.Duration) {
+func (h *health) recordStart(now time.Duration) {
 	if h.ejectedUntil > 0 && now >= h.ejectedUntil {
 		h.probedAt = now
 	}
 }
 
-func (h *health) noteEnded(now time.Duration, r Result) {
+func (h *health) recordEnd(now time.Duration, r Result) {
 	switch r {
 	case Succeeded:
 		h.record(0)
--- a/pkg/admit/isolation_test.go
+++ b/pkg/admit/isolation_test.go
@@ -10,7 +10,7 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// addHarmless sends distinct requests to random routers. Clients retry those that were
+// addHarmless sends distinct requests to random routers. Callers retry those that were
 // disconnected.
 func (w *world) addHarmless(until time.Duration) {
 	w.every(4*time.Millisecond, func() {
@@ -212,7 +212,7 @@
 	}
 }
 
-// TestPolledRequestIsServedAfterOutage: a request that many clients send must be served after
+// TestPolledRequestIsServedAfterOutage: a request that many callers send must be served after
 // all backend servers crashed while they ran it.
 func TestPolledRequestIsServedAfterOutage(t *testing.T) {
 	const end = 12 * time.Second
@@ -242,7 +242,7 @@
 	}
 }
 
-// TestPolledRequestIsNotBlocked: a request that many clients send must not be blocked because
+// TestPolledRequestIsNotBlocked: a request that many callers send must not be blocked because
 // backend servers sometimes break connections.
 func TestPolledRequestIsNotBlocked(t *testing.T) {
 	const end = 8 * time.Second
@@ -336,7 +336,7 @@
 	}
 }
 
-// TestPolledRequestWithCrashingOneIsNotBlocked: a request that many clients send must not be
+// TestPolledRequestWithCrashingOneIsNotBlocked: a request that many callers send must not be
 // blocked because it is in flight whenever another one crashes backend servers.
 func TestPolledRequestWithCrashingOneIsNotBlocked(t *testing.T) {
 	const end = 12 * time.Second
--- a/pkg/admit/latency.go
+++ b/pkg/admit/latency.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// latencyModel predicts the time to the first event of a response from the number of tokens to
-// be read before it, by linear regression over recent samples.
+// latencyModel predicts the time to the first event of a response from the number of prefill
+// tokens before it, by linear regression over recent samples.
 type latencyModel struct {
 	// Weighted sums over the samples. x is in tokens, y in seconds.
 	weight, x, y, xx, xy float64
@@ -42,8 +42,7 @@
 	l.xy += w * x * y
 }
 
-// observe adds a sample: the time to a first event, and the number of tokens to be read before
-// it.
+// observe adds a sample: the time to a first event, and the number of prefill tokens before it.
 func (l *latencyModel) observe(tokens int64, took time.Duration) {
 	l.weight *= sampleDecay
 	l.x *= sampleDecay
@@ -62,12 +61,12 @@
 	return min(max((l.weight*l.xy-l.x*l.y)/spread, minSlope), maxSlope)
 }
 
-// base returns the time to a first event without any tokens to be read, in seconds.
+// base returns the time to a first event without any prefill, in seconds.
 func (l *latencyModel) base() float64 {
 	return min(max((l.y-l.slope()*l.x)/l.weight, 0), maxBase)
 }
 
-// predict returns the time to a first event with this many tokens to be read before it.
+// predict returns the time to a first event after this many prefill tokens.
 func (l *latencyModel) predict(tokens int64) time.Duration {
 	return time.Duration((l.base() + l.slope()*float64(tokens)) * float64(time.Second))
 }
--- a/pkg/admit/load.go
+++ b/pkg/admit/load.go
@@ -17,8 +17,8 @@
 	// ownershipLossAfter is the length of a pause of this process after which another router
 	// may have taken over ownership.
 	ownershipLossAfter = 400 * time.Millisecond
-	// loadReportLag is the maximum age of a reported load.
-	loadReportLag = 500 * time.Millisecond
+	// maxLoadReportAge is the maximum age of a reported load.
+	maxLoadReportAge = 500 * time.Millisecond
 )
 
 // load describes the requests at a backend server that its owner does not track.
@@ -50,7 +50,7 @@
 
 func (o *ownerState) applyLoadReport(inFlight int, now time.Duration) {
 	untracked := max(0, inFlight-max(o.load.peakTracked, o.load.prevPeakTracked, o.running))
-	if now-o.load.abandonedAt < loadReportLag {
+	if now-o.load.abandonedAt < maxLoadReportAge {
 		untracked = max(untracked, o.load.untracked)
 	}
 	o.load.untracked = untracked
--- a/pkg/admit/notice.go
+++ b/pkg/admit/notice.go
@@ -165,7 +165,7 @@
 }
 
 // backoffJitter is the maximum random addition to a retry delay, relative to the backoff, so
-// that clients do not retry at the same time.
+// that callers do not retry at the same time.
 const backoffJitter = 0.25
 
 // backoffRefusal returns the refusal of a request while all backend servers are backing off,
--- a/pkg/admit/order.go
+++ b/pkg/admit/order.go
@@ -23,7 +23,7 @@
 // prefixOrder returns the backend servers of a service in the order of preference for a prompt
 // prefix, by rendezvous hashing. It is the same at every router and does not prefer the
 // router's own zone, so that overload in one zone spreads over all engines and a prefix is not
-// read in every zone. Without a prefix it is the order of the table.
+// processed in every zone. Without a prefix it is the order of the table.
 //
 // Orders are cached until the directory changes, because sorting is much slower than the rest
 // of an admission decision.
--- a/pkg/admit/owned.go
+++ b/pkg/admit/owned.go
@@ -32,8 +32,8 @@
 
 // entry is a request in flight.
 type entry struct {
-	unread int64
-	// ahead is the number of tokens to be read before its first event, as of the grant; 0 if
+	prefill int64
+	// ahead is the number of prefill tokens before its first event, as of the grant; 0 if
 	// unknown.
 	ahead     int64
 	startedAt time.Duration
@@ -69,7 +69,7 @@
 	o.entries[key] = e
 	o.running++
 	o.load.peakTracked = max(o.load.peakTracked, o.running)
-	o.unread += e.unread
+	o.prefill += e.prefill
 }
 
 func (o *ownerState) remove(key entryKey) {
@@ -80,18 +80,18 @@
 	delete(o.entries, key)
 	o.clearExclusive(key)
 	o.running--
-	o.unread -= e.unread
+	o.prefill -= e.prefill
 }
 
-// markRead records that a prompt has been read.
-func (o *ownerState) markRead(e *entry) {
-	o.unread -= e.unread
-	e.unread = 0
+// markPrefilled records that the engine has processed a prompt.
+func (o *ownerState) markPrefilled(e *entry) {
+	o.prefill -= e.prefill
+	e.prefill = 0
 	e.ahead = 0
 }
 
-// handleAsk replies to a slot request.
-func (c *Core) handleAsk(from string, m *wire.SlotRequest) {
+// handleSlotRequest replies to a slot request.
+func (c *Core) handleSlotRequest(from string, m *wire.SlotRequest) {
 	s, ok := c.servers[m.Server]
 	if !ok || !s.isOpen() {
 		if ok {
@@ -101,11 +101,11 @@
 		return
 	}
 	if c.weighted != nil && from != c.opt.self.Address {
-		c.weighted.notePeerWaiting(usageKey{wire.HashName(c.serviceOf(s).name), m.Account}, c.now)
+		c.weighted.recordPeerWaiting(usageKey{wire.HashName(c.serviceOf(s).name), m.Account}, c.now)
 	}
 	o := c.ownerStateOf(s)
-	isFirstAsk := !m.Spill && !m.MayHaveRun
-	if isFirstAsk {
+	isFirstRequest := !m.Spill && !m.MayHaveRun
+	if isFirstRequest {
 		c.serviceOf(s).shortestTarget.observe(c.now, time.Duration(m.TargetMillis)*time.Millisecond)
 	}
 	a := &slotRequest{
@@ -114,7 +114,7 @@
 		due:       c.now + time.Duration(m.TargetMillis)*time.Millisecond,
 	}
 	granted := (len(o.queue) == 0 || !m.Spill) && c.tryGrant(s, a)
-	if isFirstAsk {
+	if isFirstRequest {
 		c.recordAdmission(m.Account, granted)
 	}
 	switch {
@@ -129,19 +129,19 @@
 
 func (c *Core) reply(s *server, a *slotRequest, state wire.SlotState) {
 	o := c.ownerStateOf(s)
-	c.send(a.from, &wire.SlotReply{ID: a.ID, Server: s.key, State: state, Running: o.running, PrefillTokens: o.unread})
+	c.send(a.from, &wire.SlotReply{ID: a.ID, Server: s.key, State: state, Running: o.running, PrefillTokens: o.prefill})
 }
 
 // tryGrant grants a slot if the backend server can take the request now.
 func (c *Core) tryGrant(s *server, a *slotRequest) bool {
 	o := c.ownerStateOf(s)
 	svc := c.serviceOf(s)
-	toRead := o.tokensToRead(a.SlotRequest, c.now)
-	if !c.canAdmit(svc, s, a, toRead) {
+	prefill := o.prefillOf(a.SlotRequest, c.now)
+	if !c.canAdmit(svc, s, a, prefill) {
 		return false
 	}
 	fetch := a.CopyPrefix && !o.hasPrefix(a.SlotRequest, c.now)
-	e := &entry{unread: toRead, ahead: o.unread + toRead, startedAt: c.now, confirmedAt: c.now}
+	e := &entry{prefill: prefill, ahead: o.prefill + prefill, startedAt: c.now, confirmedAt: c.now}
 	key := entryKey{a.from, a.ID}
 	o.add(key, e)
 	if a.Exclusive {
@@ -155,8 +155,8 @@
 		o.prefixes.add(a.Prefix, c.now)
 	}
 	c.send(a.from, &wire.SlotReply{
-		ID: a.ID, Server: s.key, State: wire.SlotGranted, Running: o.running, PrefillTokens: o.unread,
-		CopyPrefix: fetch, OwnPrefillTokens: toRead, TokensAhead: e.ahead, ExpectedMillis: svc.latency.predict(e.ahead).Milliseconds(),
+		ID: a.ID, Server: s.key, State: wire.SlotGranted, Running: o.running, PrefillTokens: o.prefill,
+		CopyPrefix: fetch, OwnPrefillTokens: prefill, TokensAhead: e.ahead, ExpectedMillis: svc.latency.predict(e.ahead).Milliseconds(),
 	})
 	return true
 }
@@ -166,9 +166,9 @@
 	return m.Prefix != 0 && o.prefixes.has(m.Prefix, now)
 }
 
-// tokensToRead returns the number of prompt tokens that are neither cached nor copied from
+// prefillOf returns the number of prompt tokens that are neither cached nor copied from
 // another backend server.
-func (o *ownerState) tokensToRead(m *wire.SlotRequest, now time.Duration) int64 {
+func (o *ownerState) prefillOf(m *wire.SlotRequest, now time.Duration) int64 {
 	if m.CopyPrefix || o.hasPrefix(m, now) {
 		return m.PromptTokens - m.SharedTokens
 	}
@@ -272,7 +272,7 @@
 	key := entryKey{from, m.ID}
 	switch m.Kind {
 	case wire.RequestStarted:
-		o.add(key, &entry{unread: m.PrefillTokens, startedAt: c.now, confirmedAt: c.now})
+		o.add(key, &entry{prefill: m.PrefillTokens, startedAt: c.now, confirmedAt: c.now})
 		c.recordStart(s)
 		return
 	case wire.RequestFirstEvent:
@@ -281,7 +281,7 @@
 			c.observeFirstEvent(s, e, time.Duration(m.FirstEventMillis)*time.Millisecond)
 		}
 	case wire.RequestEnded:
-		s.recordOutcome(c.now, Result(m.Result))
+		s.assumeWarmup(c.now, Result(m.Result))
 		o.remove(key)
 	case wire.RequestCanceled:
 		o.queue = slices.DeleteFunc(o.queue, func(a *slotRequest) bool { return a.from == from && a.ID == m.ID })
@@ -296,7 +296,7 @@
 		s.health.observeFirstEvent(took, latency.predict(e.ahead))
 		latency.observe(e.ahead, took)
 	}
-	s.owned.markRead(e)
+	s.owned.markPrefilled(e)
 }
 
 // syncGrace is the least age of an entry that is removed because its holder does not list it.
@@ -325,7 +325,7 @@
 			continue
 		}
 		if i < len(h.PrefillTokens) {
-			o.add(key, &entry{unread: h.PrefillTokens[i], startedAt: c.now, confirmedAt: c.now})
+			o.add(key, &entry{prefill: h.PrefillTokens[i], startedAt: c.now, confirmedAt: c.now})
 		}
 	}
 	for key, e := range o.entries {
--- a/pkg/admit/owners.go
+++ b/pkg/admit/owners.go
@@ -134,7 +134,7 @@
 	if owner == c.opt.self.Address {
 		s.ownedSince = c.now
 	}
-	c.sendHeld(s)
+	c.syncOwner(s)
 }
 
 // reachableEngineFraction returns the fraction of engines in open zones with a live router, 1
--- a/pkg/admit/repeated_crash_test.go
+++ b/pkg/admit/repeated_crash_test.go
@@ -19,7 +19,7 @@
 		gap, until time.Duration
 		inject     func(w *world, x *crashSim)
 	}{
-		// Each retry by the client is a single attempt.
+		// Each retry by the caller is a single attempt.
 		"after half a minute": {31 * time.Second, 10 * time.Minute, func(_ *world, x *crashSim) { x.singleTry = true }},
 		// Backend servers restart under their names before the directory shows it.
 		"to servers with unnoticed restarts": {2 * time.Second, time.Minute, func(_ *world, x *crashSim) { x.restartHiddenFor = 10 * time.Second }},
--- a/pkg/admit/request.go
+++ b/pkg/admit/request.go
@@ -59,8 +59,8 @@
 	server *server
 	// startedAt is when it was sent.
 	startedAt time.Duration
-	// unread is the number of prompt tokens still to be read, 0 after the first event.
-	unread int64
+	// prefill is the number of prompt tokens still to be processed, 0 after the first event.
+	prefill int64
 	// position orders it among the requests of its account, if accounts are scheduled by
 	// weight.
 	position time.Duration
@@ -167,10 +167,10 @@
 
 func (e FirstEvent) apply(c *Core) {
 	r, ok := c.requests[e.ID]
-	if !ok || r.server == nil || r.unread == 0 {
+	if !ok || r.server == nil || r.prefill == 0 {
 		return
 	}
-	r.unread = 0
+	r.prefill = 0
 	c.confirmAlive(r.server, r.startedAt)
 	c.endTrial(r, true)
 	c.notifyOwner(r, &wire.RequestUpdate{Kind: wire.RequestFirstEvent, FirstEventMillis: (c.now - r.startedAt).Milliseconds()})
@@ -181,7 +181,7 @@
 	if !ok || r.server == nil {
 		return
 	}
-	r.server.health.noteEnded(c.now, e.Result)
+	r.server.health.recordEnd(c.now, e.Result)
 	c.recordOutcome(r, e)
 	c.endTrial(r, false)
 	if r.account != 0 && (e.Result == Refused || e.Result == Unreachable) {
@@ -203,7 +203,7 @@
 func (c *Core) recordOutcome(r *request, e AttemptEnd) {
 	switch {
 	case e.Disconnected:
-		c.recordCrash(r.server, suspect.Crash{Digest: e.Digest, At: c.now, Sent: r.startedAt, Unanswered: r.unread > 0})
+		c.recordCrash(r.server, suspect.Crash{Digest: e.Digest, At: c.now, Sent: r.startedAt, Unanswered: r.prefill > 0})
 	case e.Result == Succeeded || e.Result == Failed || e.Result == Refused:
 		c.confirmAlive(r.server, r.startedAt)
 	case e.Result == Stalled || e.Result == Unknown:
@@ -242,7 +242,7 @@
 		c.weighted.recordStart(r, c.now)
 	}
 	c.beginTrial(r)
-	s.health.noteStarted(c.now)
+	s.health.recordStart(c.now)
 	a.ID, a.Backend, a.Waited = r.ID, s.Backend, c.now-r.arrivedAt
 	c.emit(a)
 }
--- a/pkg/admit/server.go
+++ b/pkg/admit/server.go
@@ -59,8 +59,8 @@
 type occupancy struct {
 	// running is the number of requests in flight.
 	running int
-	// unread is the number of their prompt tokens still to be read.
-	unread int64
+	// prefill is the number of their prompt tokens still to be processed.
+	prefill int64
 }
 
 // isOpen reports whether the backend server takes new requests.
@@ -79,23 +79,23 @@
 	return max(s.reported.running, len(s.requests))
 }
 
-// unreadTTL is how long a reported number of unread tokens is used: about as long as it takes
-// to read them.
-const unreadTTL = 100 * time.Millisecond
+// prefillTTL is how long a reported number of prefill tokens is used: about as long as it takes
+// to process them.
+const prefillTTL = 100 * time.Millisecond
 
-// reportedUnread returns the last reported number of unread tokens, 0 if it has expired.
-func (s *server) reportedUnread(now time.Duration) int64 {
-	if now-s.reportedAt > unreadTTL {
+// reportedPrefill returns the last reported number of prefill tokens, 0 if it has expired.
+func (s *server) reportedPrefill(now time.Duration) int64 {
+	if now-s.reportedAt > prefillTTL {
 		return 0
 	}
-	return s.reported.unread
+	return s.reported.prefill
 }
 
-// ownUnread returns the number of unread tokens of this router's own requests.
-func (s *server) ownUnread() int64 {
+// ownPrefill returns the number of prefill tokens of this router's own requests.
+func (s *server) ownPrefill() int64 {
 	sum := int64(0)
 	for _, r := range s.requests {
-		sum += r.unread
+		sum += r.prefill
 	}
 	return sum
 }
@@ -129,9 +129,9 @@
 // serviceOf returns the service of a backend server.
 func (c *Core) serviceOf(s *server) *service { return c.service(s.Models[0]) }
 
-// sendHeld sends the owner of a backend server the requests that this router has in flight
+// syncOwner sends the owner of a backend server the list of this router's requests in flight
 // there.
-func (c *Core) sendHeld(s *server) {
+func (c *Core) syncOwner(s *server) {
 	if len(s.requests) > 0 || s.owner == c.opt.self.Address {
 		c.send(s.owner, &wire.RequestSync{Servers: []wire.ServerRequests{s.heldRequests()}})
 	}
@@ -142,7 +142,7 @@
 	h := wire.ServerRequests{Server: s.key}
 	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
 		h.IDs = append(h.IDs, id)
-		h.PrefillTokens = append(h.PrefillTokens, s.requests[id].unread)
+		h.PrefillTokens = append(h.PrefillTokens, s.requests[id].prefill)
 	}
 	return h
 }
--- a/pkg/admit/warmup.go
+++ b/pkg/admit/warmup.go
@@ -61,9 +61,9 @@
 	return s.warmupRate > 0 && now < max(s.warmUntil, s.mayWarmUntil)
 }
 
-// recordOutcome assumes a warm-up after an attempt that stalled or could not reach the backend
-// server, which may have restarted before the directory shows it.
-func (s *server) recordOutcome(now time.Duration, r Result) {
+// assumeWarmup assumes a warm-up after an attempt that stalled or could not reach the backend
+// server: it may have restarted, which the directory does not show yet.
+func (s *server) assumeWarmup(now time.Duration, r Result) {
 	if s.warmupRate > 0 && (r == Stalled || r == Unreachable) {
 		s.mayWarmUntil = now + s.warmupTime
 	}
--- a/pkg/admit/weights.go
+++ b/pkg/admit/weights.go
@@ -162,8 +162,8 @@
 	return false
 }
 
-// notePeerWaiting records that requests of an account wait at another router.
-func (w *weightedScheduler) notePeerWaiting(k usageKey, now time.Duration) {
+// recordPeerWaiting records that requests of an account wait at another router.
+func (w *weightedScheduler) recordPeerWaiting(k usageKey, now time.Duration) {
 	u := w.usage(k, now)
 	w.refreshActive(k, u, now)
 	u.peerWaitingAt = now
--- a/pkg/admit/world_test.go
+++ b/pkg/admit/world_test.go
@@ -14,7 +14,7 @@
 )
 
 // world simulates a fleet on a simulated clock. Its network may delay and lose messages, and
-// its engines read prompts one after the other.
+// its engines process prompts one after the other.
 type world struct {
 	now   time.Duration
 	rng   *rand.Rand
@@ -60,7 +60,7 @@
 	first time.Duration
 }
 
-// engine reads prompts one after the other at a steady rate.
+// engine processes prompts one after the other at a steady rate.
 type engine struct {
 	perToken time.Duration
 	freeAt   time.Duration
--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -169,7 +169,7 @@
 		c.enterEpoch(now, &u)
 	}
 	if full {
-		c.noteFull(u.AsOf)
+		c.recordFullUpdate(u.AsOf)
 	}
 	for _, j := range u.Jumps {
 		c.addJump(j)
@@ -268,7 +268,7 @@
 		c.goneAt[name] = now
 		delete(c.warmupUntil, name)
 		if known {
-			c.noteRemoval(now, old)
+			c.recordRemoval(now, old)
 		}
 		return known && !old.Gone
 	}
@@ -319,7 +319,7 @@
 		c.goneAt[name] = now
 		delete(c.warmupUntil, name)
 		delete(c.unusable, name)
-		c.noteRemoval(now, s)
+		c.recordRemoval(now, s)
 		changed = true
 	}
 	return changed
--- a/pkg/catalog/epoch.go
+++ b/pkg/catalog/epoch.go
@@ -77,7 +77,7 @@
 		// The backup had the entry, so it was removed after the restore.
 		c.servers[name] = Server{Revision: e.listed.AsOf, Gone: true, Backend: table.Backend{Name: name}}
 		c.goneAt[name] = now
-		c.noteRemoval(now, old.item)
+		c.recordRemoval(now, old.item)
 		return
 	}
 	c.retainedServers[name] = retained[Server]{item: old.item, until: c.epochSince + c.unlistedGrace, Override: Override{Origin: old.Origin}}
--- a/pkg/catalog/since.go
+++ b/pkg/catalog/since.go
@@ -48,8 +48,8 @@
 // maxJumps bounds the jumps kept. Requests for changes after an older one get a full update.
 const maxJumps = 16
 
-// noteFull records that a full update as of a revision number was received.
-func (c *Catalog) noteFull(number uint64) {
+// recordFullUpdate records that a full update as of a revision number was received.
+func (c *Catalog) recordFullUpdate(number uint64) {
 	if c.asOf.Number == 0 {
 		c.historyFrom, c.jumps = number, nil
 		return
--- a/pkg/roster/report.go
+++ b/pkg/roster/report.go
@@ -56,7 +56,7 @@
 	}
 	for _, info := range report.Members {
 		if info.Address == r.self.Address {
-			r.noteIncarnation(info.Incarnation)
+			r.recordIncarnation(info.Incarnation)
 			continue
 		}
 		if info.LastSeenAgo >= ForgetAfter {
@@ -78,10 +78,10 @@
 	return applies || !isRelay
 }
 
-// noteIncarnation records which incarnation of this router another one knows.
-func (r *Roster) noteIncarnation(inc uint64) {
+// recordIncarnation records which incarnation of this router another one knows.
+func (r *Roster) recordIncarnation(inc uint64) {
 	if inc > r.self.Incarnation {
-		r.higherInc = max(r.higherInc, inc)
+		r.higherIncarnation = max(r.higherIncarnation, inc)
 	}
 }
 
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -98,9 +98,9 @@
 	reports map[string]*relayReport
 	// interval is the current message interval.
 	interval time.Duration
-	// higherInc is the highest incarnation of this router that others know of, if it is above
+	// higherIncarnation is the highest incarnation of this router that others know of, if it is above
 	// the current one, else 0.
-	higherInc uint64
+	higherIncarnation uint64
 	// startedAt is when this router first chose routers to probe, 0 before.
 	startedAt time.Duration
 	// pause is the last time during which this process was paused.
@@ -167,10 +167,10 @@
 // address, and returns it. It returns 0 if the current one is already above. Incarnations come
 // from the wall clock, which may have been set back since an earlier start.
 func (r *Roster) RaiseIncarnation() uint64 {
-	if r.higherInc == 0 {
+	if r.higherIncarnation == 0 {
 		return 0
 	}
-	r.self.Incarnation, r.higherInc = r.higherInc+1, 0
+	r.self.Incarnation, r.higherIncarnation = r.higherIncarnation+1, 0
 	return r.self.Incarnation
 }
 
--- a/pkg/suspect/suspect.go
+++ b/pkg/suspect/suspect.go
@@ -40,8 +40,8 @@
 	retentionPerBlock = 2
 	// maxRequests bounds the number of requests kept.
 	maxRequests = 4096
-	// evictPart is the divisor of maxRequests that gives how many requests one eviction drops.
-	evictPart = 8
+	// An eviction drops maxRequests/evictDivisor requests.
+	evictDivisor = 8
 	// completedFor is the minimum time for which completions are counted, and maxCompleted
 	// bounds the requests in each of the two generations of counts.
 	completedFor = 30 * time.Second
@@ -140,8 +140,8 @@
 	requests map[Digest]*request
 	// cleared waits for DrainCleared.
 	cleared []Cleared
-	// crashesAt counts the recorded crashes of each server.
-	crashesAt map[Server]int
+	// crashCounts counts the recorded crashes of each server.
+	crashCounts map[Server]int
 	// completed counts completions of requests since completedSince, completedBefore those of
 	// the generation before.
 	completed, completedBefore map[Digest]int
@@ -150,7 +150,7 @@
 
 // New returns an empty tracker.
 func New() *Tracker {
-	return &Tracker{requests: map[Digest]*request{}, crashesAt: map[Server]int{}, completed: map[Digest]int{}}
+	return &Tracker{requests: map[Digest]*request{}, crashCounts: map[Server]int{}, completed: map[Digest]int{}}
 }
 
 // Len returns the number of requests kept.
@@ -180,7 +180,7 @@
 	}
 	pos, _ := slices.BinarySearchFunc(r.crashes, c, compareTimes)
 	r.crashes = slices.Insert(r.crashes, pos, c)
-	t.crashesAt[c.Server]++
+	t.crashCounts[c.Server]++
 	return true
 }
 
@@ -200,7 +200,7 @@
 }
 
 // HasCrash reports whether any crash of the server is recorded.
-func (t *Tracker) HasCrash(server Server) bool { return t.crashesAt[server] > 0 }
+func (t *Tracker) HasCrash(server Server) bool { return t.crashCounts[server] > 0 }
 
 // MarkAlive removes the crashes recorded for a server at times in [from, to), during which it
 // was alive.
@@ -363,7 +363,7 @@
 		return
 	}
 	list := t.byCrashCount()
-	for _, r := range list[len(list)-maxRequests/evictPart:] {
+	for _, r := range list[len(list)-maxRequests/evictDivisor:] {
 		t.removeCrashes(r.crashes[0].Digest, r, ReasonEvicted, allCrashes)
 	}
 }
@@ -399,7 +399,7 @@
 }
 
 func (t *Tracker) uncount(c Crash) {
-	if t.crashesAt[c.Server]--; t.crashesAt[c.Server] <= 0 {
-		delete(t.crashesAt, c.Server)
+	if t.crashCounts[c.Server]--; t.crashCounts[c.Server] <= 0 {
+		delete(t.crashCounts, c.Server)
 	}
 }
