--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -70,7 +70,7 @@
 		TokensAhead: dec.start.TokensAhead, ExpectedFirstEvent: dec.start.ExpectedFirstEvent, Running: dec.start.Running,
 		Served: dec.tokens, Waited: r.Waited + dec.waited,
 		OnFirstEvent: func() { d.post(firstOutputEvent{dec.id}) },
-		OnNotice:     func(w backend.Notice) { d.post(noticeEvent{dec.id, w}) },
+		OnNotice:     func(n backend.Notice) { d.post(noticeEvent{dec.id, n}) },
 		Saturated:    d.Saturated,
 		// After a longer pause the owner may have granted the slot to another request.
 		MayStart: func() bool { return d.now()-dec.decidedAt < d.startTimeout() },
@@ -224,7 +224,7 @@
 	}
 }
 
-// drainEvent refuses all waiting requests, if accounts are served by weights.
+// drainEvent refuses all waiting requests, if accounts are scheduled by weight.
 type drainEvent struct{}
 
 func (drainEvent) apply(s *state) {
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -128,7 +128,7 @@
 		s.handleClaimMessage(to, msg)
 		return
 	}
-	s.d.net.Send(to, msg)
+	s.d.transport.Send(to, msg)
 }
 
 // homesOf returns the home routers of a key for a claim from a zone.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -67,7 +67,7 @@
 	id        Identity
 	opt       options
 	source    Source
-	net       Transport
+	transport Transport
 	startTime time.Time
 	// steadyStart is the start time on the monotonic clock, which stops while the machine
 	// is suspended. Lag is measured on it, so that a suspension does not count as lag.
@@ -128,7 +128,7 @@
 	// by it.
 	wallClock   func() time.Time
 	coreOptions []admit.Option
-	// weighted is true if accounts are served by their weights.
+	// weighted is true if accounts are scheduled by weight.
 	weighted bool
 	// loadReader is nil if backend loads are not polled.
 	loadReader LoadReader
@@ -185,7 +185,7 @@
 func New(id Identity, source Source, n Transport, opts ...Option) *Dispatcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Dispatcher{
-		id: id, source: source, net: n, steadyStart: time.Now(),
+		id: id, source: source, transport: n, steadyStart: time.Now(),
 		opt: options{
 			log: slog.Default(), retryRule: allowance.DefaultRule(), applyWithin: DefaultApplyWithin, random: rand.Float64, clock: clock.System(), wallClock: time.Now,
 		},
@@ -268,9 +268,9 @@
 			s.apply(tickEvent{})
 		case ev := <-d.events:
 			s.apply(ev)
-		case in := <-d.net.Inbox():
+		case in := <-d.transport.Inbox():
 			s.apply(messageEvent{in})
-		case l := <-d.net.Losses():
+		case l := <-d.transport.Losses():
 			s.apply(lossEvent{l})
 		case <-tick.C:
 			s.apply(tickEvent{})
@@ -299,8 +299,8 @@
 // Table implements front.Scheduler.
 func (d *Dispatcher) Table() *table.Table { return d.shared.table.Load() }
 
-// Drain announces to other routers that this one stops. If accounts are served by weights, it
-// also refuses waiting requests.
+// Drain announces to other routers that this one stops. If accounts are scheduled by
+// weight, it also refuses waiting requests.
 func (d *Dispatcher) Drain() {
 	d.shared.draining.Store(true)
 	d.post(drainEvent{})
--- a/internal/dispatch/loadstats.go
+++ b/internal/dispatch/loadstats.go
@@ -23,14 +23,14 @@
 // publishLoadStats publishes the load statistics to the callers' goroutines and logs changes of
 // saturation.
 func (s *state) publishLoadStats() {
-	p := &LoadStats{AdmittedFraction: s.estimator.AdmittedFraction(), Lag: s.estimator.Lag(), Rate: s.estimator.Rate()}
-	s.d.shared.loadStats.Store(p)
-	if p.AdmittedFraction < 1 {
+	stats := &LoadStats{AdmittedFraction: s.estimator.AdmittedFraction(), Lag: s.estimator.Lag(), Rate: s.estimator.Rate()}
+	s.d.shared.loadStats.Store(stats)
+	if stats.AdmittedFraction < 1 {
 		s.saturatedAt = s.now
 	}
 	limited := s.saturatedAt > 0 && s.now-s.saturatedAt < saturatedHold
 	if s.d.shared.saturated.Swap(limited) != limited {
-		s.d.opt.log.Warn("router_pace", "limited", limited, "late_ms", p.Lag.Milliseconds(), "can_per_s", int(p.Rate))
+		s.d.opt.log.Warn("router_pace", "limited", limited, "late_ms", stats.Lag.Milliseconds(), "can_per_s", int(stats.Rate))
 	}
 }
 
@@ -80,10 +80,10 @@
 
 // LoadStats returns the current load statistics.
 func (d *Dispatcher) LoadStats() LoadStats {
-	p := LoadStats{AdmittedFraction: 1}
+	stats := LoadStats{AdmittedFraction: 1}
 	if last := d.shared.loadStats.Load(); last != nil {
-		p = *last
+		stats = *last
 	}
-	p.RefusedEarly = d.admission.refusedTotal.Load()
-	return p
+	stats.RefusedEarly = d.admission.refusedTotal.Load()
+	return stats
 }
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -48,7 +48,7 @@
 			s.requestUpdate(e.From)
 		}
 		if m := s.retainedUpdate(); m != nil {
-			s.d.net.Send(e.From, m)
+			s.d.transport.Send(e.From, m)
 		}
 		s.sendAllSuspects(e.From)
 		s.scheduleMembersUpdate()
@@ -65,7 +65,7 @@
 	case *wire.Roster:
 		s.mergeRoster(e.From, m)
 	case *wire.PlatformUpdateRequest:
-		s.d.net.Send(e.From, s.updateSince(m))
+		s.d.transport.Send(e.From, s.updateSince(m))
 	case *wire.PlatformUpdate:
 		indexTables(&m.Update)
 		updateEvent{Update: m.Checked(), senderName: e.Name, senderAddress: e.From}.apply(s)
@@ -73,12 +73,12 @@
 }
 
 // indexTables indexes the tables of a received update for lookups.
-func indexTables(n *catalog.Update) {
-	if n.Table != nil {
-		n.Table.Index()
+func indexTables(u *catalog.Update) {
+	if u.Table != nil {
+		u.Table.Index()
 	}
-	if n.Retained != nil && n.Retained.Table != nil {
-		n.Retained.Table.Index()
+	if u.Retained != nil && u.Retained.Table != nil {
+		u.Retained.Table.Index()
 	}
 }
 
@@ -167,7 +167,7 @@
 		return
 	}
 	s.updateRequestedAt = s.now
-	s.d.net.Send(from, &wire.PlatformUpdateRequest{Epoch: after.Epoch, After: after.Number})
+	s.d.transport.Send(from, &wire.PlatformUpdateRequest{Epoch: after.Epoch, After: after.Number})
 }
 
 // broadcastUpdate sends what was published after a revision. A router sends what it read itself
@@ -195,7 +195,7 @@
 	for _, list := range [][]string{s.peerPlan.Peers, s.peerPlan.Served, s.peerPlan.RemoteRelays} {
 		for _, to := range list {
 			if to != except {
-				s.d.net.Send(to, msg)
+				s.d.transport.Send(to, msg)
 			}
 		}
 	}
@@ -260,7 +260,7 @@
 		m.RosterDigest = s.rosterDigest
 		s.sendRosterChanges(to, s.link(to))
 	}
-	s.d.net.Send(to, m)
+	s.d.transport.Send(to, m)
 	s.sendUsage(to, t, scope)
 }
 
--- a/internal/dispatch/roster.go
+++ b/internal/dispatch/roster.go
@@ -64,17 +64,17 @@
 			m.Entries = append(m.Entries, rosterEntry(k))
 		}
 	}
-	s.d.net.Send(to, m)
+	s.d.transport.Send(to, m)
 }
 
-// probe contacts a router that was not heard from and requests its roster. In a full mesh it
-// also sends the own roster; elsewhere relays do.
+// probe requests the roster of a silent router. In a full mesh it also sends the own roster;
+// otherwise relays do.
 func (s *state) probe(to string) {
 	if s.peerPlan.Mesh {
 		s.sendFullRoster(to, true)
 		return
 	}
-	s.d.net.Send(to, &wire.Roster{WantReply: true})
+	s.d.transport.Send(to, &wire.Roster{WantReply: true})
 }
 
 // requestRoster asks a relay for its full roster after changes of it were lost.
@@ -85,7 +85,7 @@
 	}
 	l.rosterRequestedAt = s.now
 	s.d.opt.log.Debug("roster_asked", "peer", to)
-	s.d.net.Send(to, &wire.Roster{WantReply: true})
+	s.d.transport.Send(to, &wire.Roster{WantReply: true})
 }
 
 func rosterEntry(k roster.MemberInfo) wire.RosterEntry {
@@ -119,6 +119,6 @@
 func (s *state) raiseIncarnation() {
 	if inc := s.roster.RaiseIncarnation(); inc > 0 {
 		s.d.opt.log.Warn("incarnation_raised", "incarnation", inc)
-		s.d.net.SetIncarnation(inc)
+		s.d.transport.SetIncarnation(inc)
 	}
 }
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -42,8 +42,8 @@
 	rosterVersion uint64
 	rosterChanges map[string]rosterChange
 	keys          *idempotencyKeys
-	// tokenCounts counts the tokens of running requests by id, if accounts are served by
-	// weights.
+	// tokenCounts counts the tokens of running requests by id, if accounts are scheduled
+	// by weight.
 	tokenCounts map[uint64]*atomic.Int64
 	// loadReaders holds the function that stops each load reader, by backend server.
 	loadReaders    map[string]context.CancelFunc
@@ -148,7 +148,7 @@
 			s.logBlocked(a)
 			s.reply(a.ID, decision{err: a.Err, waited: a.Waited})
 		case admit.Send:
-			s.d.net.Send(a.To, a.Msg)
+			s.d.transport.Send(a.To, a.Msg)
 		case admit.SuspectAdded:
 			s.logCrash(a)
 		case admit.SuspectCleared:
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -104,9 +104,9 @@
 // logEjections logs which backend servers were ejected or readmitted since the last call.
 func (s *state) logEjections() {
 	current := s.core.Ejected()
-	for name, u := range current {
+	for name, e := range current {
 		if _, before := s.ejected[name]; !before {
-			s.d.opt.log.Warn("backend_untrusted", "backend", name, "failed_part", u.FailureRate, "strikes", u.Count)
+			s.d.opt.log.Warn("backend_untrusted", "backend", name, "failed_part", e.FailureRate, "strikes", e.Count)
 		}
 	}
 	for name := range s.ejected {
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -33,7 +33,7 @@
 // sendAllSuspects sends a router the suspects that fit one message.
 func (s *state) sendAllSuspects(to string) {
 	if m := s.core.WorstSuspects(s.now); m != nil {
-		s.d.net.Send(to, m)
+		s.d.transport.Send(to, m)
 	}
 }
 
--- a/internal/dispatch/unusable.go
+++ b/internal/dispatch/unusable.go
@@ -32,8 +32,8 @@
 }
 
 // logUnusable logs the parts of an update that cannot be used.
-func (s *state) logUnusable(n *catalog.Update, from string) {
-	for _, x := range n.Skipped {
+func (s *state) logUnusable(u *catalog.Update, from string) {
+	for _, x := range u.Skipped {
 		if x.Key == "" || !s.unusableLimiter.allow(s.now) {
 			continue
 		}
@@ -45,16 +45,16 @@
 				"reason", string(e.Unusable.Reason), "field", e.Unusable.Field, "from", from)
 		}
 	}
-	s.recordNoTableReason(n)
+	s.recordNoTableReason(u)
 }
 
 // recordNoTableReason records why a router has no table yet.
-func (s *state) recordNoTableReason(n *catalog.Update) {
+func (s *state) recordNoTableReason(u *catalog.Update) {
 	if s.catalog.View() != nil {
 		s.d.shared.noTableReason.Store(nil)
 		return
 	}
-	for _, x := range n.Skipped {
+	for _, x := range u.Skipped {
 		if x.Key != "" {
 			err := fmt.Errorf("dispatch: %s at revision %d cannot be used (%s %s); publish a corrected value", x.Key, x.Revision, x.Unusable.Reason, x.Unusable.Field)
 			s.d.shared.noTableReason.Store(&err)
--- a/internal/dispatch/usage.go
+++ b/internal/dispatch/usage.go
@@ -8,8 +8,8 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// WithWeightedAccounts serves accounts by the weights of the table, enforces its limits and lets
-// requests wait until their deadlines.
+// WithWeightedAccounts schedules accounts by the weights in the table and enforces their limits.
+// Requests wait until their deadlines.
 func WithWeightedAccounts() Option {
 	return func(o *options) {
 		o.weighted = true
@@ -20,7 +20,7 @@
 // sendUsage sends a router the accounts' usage for a scope.
 func (s *state) sendUsage(to string, t *admit.Snapshot, scope wire.Scope) {
 	if s.d.opt.weighted && scope != wire.ScopeNone {
-		s.d.net.Send(to, &wire.Usage{Scope: scope, Accounts: t.Usage(scope, to)})
+		s.d.transport.Send(to, &wire.Usage{Scope: scope, Accounts: t.Usage(scope, to)})
 	}
 }
 
--- a/internal/dispatch/verified.go
+++ b/internal/dispatch/verified.go
@@ -40,7 +40,7 @@
 	for _, to := range list {
 		m := s.stateMessage(to)
 		m.Scope = wire.ScopeNone
-		s.d.net.Send(to, m)
+		s.d.transport.Send(to, m)
 	}
 }
 
--- a/internal/front/handle.go
+++ b/internal/front/handle.go
@@ -140,14 +140,14 @@
 		}
 		mayHaveRun = mayHaveRun || result.Sent && err.Verdict != verdict.NotRun
 		if !s.shouldRetry(ctx, in, result, err) {
-			return withEarlierDoubt(err, mayHaveRun)
+			return withEarlierAttempts(err, mayHaveRun)
 		}
 	}
 }
 
-// withEarlierDoubt changes the verdict NotRun to MayHaveRun if an earlier attempt may have
+// withEarlierAttempts changes the verdict NotRun to MayHaveRun if an earlier attempt may have
 // run.
-func withEarlierDoubt(err *verdict.Error, mayHaveRun bool) *verdict.Error {
+func withEarlierAttempts(err *verdict.Error, mayHaveRun bool) *verdict.Error {
 	if !mayHaveRun || err.Verdict != verdict.NotRun {
 		return err
 	}
--- a/internal/front/scheduler.go
+++ b/internal/front/scheduler.go
@@ -100,7 +100,7 @@
 	MaxConnections int
 	// MayStart reports whether the lease still permits sending the first byte.
 	MayStart func() bool
-	// Served counts the tokens generated so far.
+	// Served counts the tokens or events received so far.
 	Served *atomic.Int64
 	// Waited is the total time that the request has waited.
 	Waited time.Duration
@@ -118,7 +118,7 @@
 	Tokens int64
 	// Sent says that at least one byte of the request was sent.
 	Sent bool
-	// Unreachable says that no connection to the backend server could be made.
+	// Unreachable says that no byte could be sent to the backend server.
 	Unreachable bool
 	// Status is the status of the response, 0 if there was none.
 	Status int
--- a/pkg/admit/account.go
+++ b/pkg/admit/account.go
@@ -180,8 +180,8 @@
 // underserved. Others are then not admitted above their fair share.
 const underservedFraction = 0.7
 
-// underservedMinDemand is the least demand of such an account, relative to the fair share. The rates
-// of smaller accounts vary too much.
+// underservedMinDemand is the least demand of such an account, relative to the fair share. The
+// rates of smaller accounts vary too much.
 const underservedMinDemand = 0.5
 
 // anyUnderserved reports whether any waiting account gets much less than its fair share.
--- a/pkg/admit/admission.go
+++ b/pkg/admit/admission.go
@@ -39,7 +39,7 @@
 }
 
 // canAdmit reports whether a request can start at a backend server now.
-func (c *Core) canAdmit(svc *service, s *server, a *slotRequest, prefill int64) bool {
+func (c *Core) canAdmit(svc *service, s *server, a *receivedRequest, prefill int64) bool {
 	o := c.ownerStateOf(s)
 	if s.isWarming(c.now) && !c.mayGrantWarming(s) {
 		return false
@@ -75,7 +75,7 @@
 
 // meetsTarget reports whether the first event of a request is predicted within a fraction of
 // its remaining target.
-func (c *Core) meetsTarget(svc *service, s *server, a *slotRequest, prefill int64, fraction float64) bool {
+func (c *Core) meetsTarget(svc *service, s *server, a *receivedRequest, prefill int64, fraction float64) bool {
 	remaining := (a.due - c.now).Seconds()
 	ahead := s.owned.prefill
 	if c.exceedsShare(a.Account) {
@@ -89,9 +89,9 @@
 	return expected <= usableTargetFraction*fraction*remaining
 }
 
-// admitsLongPrompt reports whether the prefill of a prompt takes too long to meet its target anywhere,
-// but waits for little else at this backend server.
-func (c *Core) admitsLongPrompt(svc *service, s *server, a *slotRequest, prefill int64, fraction float64) bool {
+// admitsLongPrompt reports whether the prefill of a prompt takes too long to meet its target at
+// any backend server, and little else is queued ahead of it at this one.
+func (c *Core) admitsLongPrompt(svc *service, s *server, a *receivedRequest, prefill int64, fraction float64) bool {
 	limit := longPromptFraction * (time.Duration(a.TargetMillis) * time.Millisecond).Seconds()
 	behind := s.health.slowness() * svc.latency.slope() * float64(s.owned.prefill)
 	return behind <= fraction*limit && svc.latency.slope()*float64(prefill) > limit
--- a/pkg/admit/choose.go
+++ b/pkg/admit/choose.go
@@ -11,7 +11,7 @@
 func (c *Core) nextServer(r *request) (*server, string) {
 	svc := c.service(r.Service)
 	eligible := c.healthy(svc, c.eligibleServers(svc, r))
-	eligible = slices.DeleteFunc(eligible, func(s *server) bool { return r.askOf(s.key) != nil })
+	eligible = slices.DeleteFunc(eligible, func(s *server) bool { return r.slotRequestAt(s.key) != nil })
 	if len(eligible) == 0 {
 		return nil, ""
 	}
@@ -23,8 +23,8 @@
 
 // chooseByPrefix chooses among backend servers that are in prefix order. It prefers the first
 // in that order, then others that have the prefix. If neither has a free slot and the
-// request may wait no longer, it takes the least loaded one. A rare prefix is thus processed at one
-// backend server, a frequent one at as many as needed.
+// request may wait no longer, it takes the least loaded one. A rare prefix is thus processed at
+// one backend server, a frequent one at as many as needed.
 func (c *Core) chooseByPrefix(svc *service, r *request, eligible []*server) (*server, string) {
 	preferred := c.preferredServer(svc, r.Prefix)
 	if eligible[0] == preferred && c.now >= preferred.busyUntil {
--- a/pkg/admit/core.go
+++ b/pkg/admit/core.go
@@ -2,9 +2,10 @@
 // sends them.
 //
 // Each backend server has an owner: one of the live routers of its availability zone, chosen by
-// rendezvous hashing. The router that holds a request asks the owner of the preferred backend
-// server for a slot. The owner knows all requests in flight there and grants slots so that
-// responses start within their targets, serving the account with the least usage first. If the
+// rendezvous hashing. The router that holds a request (its holder) requests a slot
+// from the owner of the preferred backend server. The owner knows all requests in flight there and
+// grants slots so that responses start within their targets, serving the account with the least
+// usage first. If the
 // owner does not reply within replyTimeout, the holder admits the request on its own estimate.
 //
 // The package is a pure state machine: it takes events and the current time, and returns
@@ -100,7 +101,7 @@
 	// waiting are the requests without a slot, in order of arrival.
 	waiting  []*request
 	accounts *accounts
-	// weighted schedules accounts by their weights. It is nil if they are scheduled by demand.
+	// weighted schedules accounts by weight. It is nil if they are scheduled by demand.
 	weighted *weightedScheduler
 	// statedCapacity is the engines' throughput in tokens per second, as the table states it.
 	statedCapacity float64
@@ -145,7 +146,7 @@
 	seed uint64
 	// uniqueIncarnations says that each incarnation of a backend server has its own name.
 	uniqueIncarnations bool
-	// weighted says that accounts are scheduled by their weights.
+	// weighted says that accounts are scheduled by weight.
 	weighted bool
 }
 
--- a/pkg/admit/notice.go
+++ b/pkg/admit/notice.go
@@ -125,11 +125,11 @@
 // ask elsewhere.
 func (c *Core) rerouteWaiting(s *server) {
 	for _, r := range slices.Clone(c.waiting) {
-		a := r.askOf(s.key)
+		a := r.slotRequestAt(s.key)
 		if a == nil || r.server != nil || !a.isOpen() {
 			continue
 		}
-		a.state = askDenied
+		a.state = slotDenied
 		c.send(a.owner, &wire.RequestUpdate{ID: r.ID, Server: s.key, Kind: wire.RequestCanceled})
 		c.advance(r)
 	}
@@ -138,7 +138,7 @@
 	}
 }
 
-// notifyLeaving tells a router whose slot request is denied that the backend server announced
+// notifyLeaving notifies a router whose slot request is denied if the backend server announced
 // that it is leaving.
 func (c *Core) notifyLeaving(s *server, to string) {
 	if s.announcedLeaving() && to != c.opt.self.Address {
--- a/pkg/admit/owned.go
+++ b/pkg/admit/owned.go
@@ -13,7 +13,7 @@
 	occupancy
 	entries map[entryKey]*entry
 	// queue is the slot requests that wait, in no particular order.
-	queue []*slotRequest
+	queue []*receivedRequest
 	load  load
 	// prefixes are the prompt prefixes that it read recently.
 	prefixes recentSet
@@ -41,8 +41,8 @@
 	confirmedAt time.Duration
 }
 
-// slotRequest is a request that asks for a slot.
-type slotRequest struct {
+// receivedRequest is a slot request as received by the owner.
+type receivedRequest struct {
 	*wire.SlotRequest
 	from string
 	// expiresAt is when the holder stops waiting, due when the first event is due.
@@ -108,7 +108,7 @@
 	if isFirstRequest {
 		c.serviceOf(s).shortestTarget.observe(c.now, time.Duration(m.TargetMillis)*time.Millisecond)
 	}
-	a := &slotRequest{
+	a := &receivedRequest{
 		SlotRequest: m, from: from,
 		expiresAt: c.now + time.Duration(m.WaitMillis)*time.Millisecond,
 		due:       c.now + time.Duration(m.TargetMillis)*time.Millisecond,
@@ -122,25 +122,25 @@
 	case m.Spill || c.now >= a.expiresAt || c.weighted != nil && s.owner != c.opt.self.Address:
 		c.reply(s, a, wire.SlotDenied)
 	default:
-		o.queue = append(slices.DeleteFunc(o.queue, func(x *slotRequest) bool { return x.from == from && x.ID == m.ID }), a)
+		o.queue = append(slices.DeleteFunc(o.queue, func(x *receivedRequest) bool { return x.from == from && x.ID == m.ID }), a)
 		c.reply(s, a, wire.SlotQueued)
 	}
 }
 
-func (c *Core) reply(s *server, a *slotRequest, state wire.SlotState) {
+func (c *Core) reply(s *server, a *receivedRequest, state wire.SlotState) {
 	o := c.ownerStateOf(s)
 	c.send(a.from, &wire.SlotReply{ID: a.ID, Server: s.key, State: state, Running: o.running, PrefillTokens: o.prefill})
 }
 
 // tryGrant grants a slot if the backend server can take the request now.
-func (c *Core) tryGrant(s *server, a *slotRequest) bool {
+func (c *Core) tryGrant(s *server, a *receivedRequest) bool {
 	o := c.ownerStateOf(s)
 	svc := c.serviceOf(s)
 	prefill := o.prefillOf(a.SlotRequest, c.now)
 	if !c.canAdmit(svc, s, a, prefill) {
 		return false
 	}
-	fetch := a.CopyPrefix && !o.hasPrefix(a.SlotRequest, c.now)
+	copyPrefix := a.CopyPrefix && !o.hasPrefix(a.SlotRequest, c.now)
 	e := &entry{prefill: prefill, ahead: o.prefill + prefill, startedAt: c.now, confirmedAt: c.now}
 	key := entryKey{a.from, a.ID}
 	o.add(key, e)
@@ -156,7 +156,7 @@
 	}
 	c.send(a.from, &wire.SlotReply{
 		ID: a.ID, Server: s.key, State: wire.SlotGranted, Running: o.running, PrefillTokens: o.prefill,
-		CopyPrefix: fetch, OwnPrefillTokens: prefill, TokensAhead: e.ahead, ExpectedMillis: svc.latency.predict(e.ahead).Milliseconds(),
+		CopyPrefix: copyPrefix, OwnPrefillTokens: prefill, TokensAhead: e.ahead, ExpectedMillis: svc.latency.predict(e.ahead).Milliseconds(),
 	})
 	return true
 }
@@ -213,7 +213,7 @@
 // changes that order.
 func (c *Core) serveQueueByWeight(s *server) {
 	o := s.owned
-	o.queue = slices.DeleteFunc(o.queue, func(a *slotRequest) bool {
+	o.queue = slices.DeleteFunc(o.queue, func(a *receivedRequest) bool {
 		if c.now < a.expiresAt && s.isOpen() && s.owner == c.opt.self.Address {
 			return false
 		}
@@ -222,26 +222,26 @@
 		return true
 	})
 	for len(o.queue) > 0 {
-		first := slices.MinFunc(o.queue, func(a, b *slotRequest) int {
+		first := slices.MinFunc(o.queue, func(a, b *receivedRequest) int {
 			return cmp.Or(trueFirst(a.MayHaveRun, b.MayHaveRun), c.compareVirtualTime(s, a, b))
 		})
 		if !c.tryGrant(s, first) {
 			return
 		}
-		o.queue = slices.DeleteFunc(o.queue, func(a *slotRequest) bool { return a == first })
+		o.queue = slices.DeleteFunc(o.queue, func(a *receivedRequest) bool { return a == first })
 	}
 }
 
 // sortQueue orders slot requests: those that may have run go first, then by rank, by the
 // account's usage relative to its fair share, and by due time.
-func (c *Core) sortQueue(queue []*slotRequest) {
+func (c *Core) sortQueue(queue []*receivedRequest) {
 	usage := make(map[wire.NameHash]float64, len(queue))
 	for _, a := range queue {
 		if _, ok := usage[a.Account]; !ok {
 			usage[a.Account] = c.accounts.usageRatio(a.Account, c.now)
 		}
 	}
-	slices.SortStableFunc(queue, func(a, b *slotRequest) int {
+	slices.SortStableFunc(queue, func(a, b *receivedRequest) int {
 		return cmp.Or(
 			trueFirst(a.MayHaveRun, b.MayHaveRun),
 			cmp.Compare(a.AccountRank, b.AccountRank), cmp.Compare(a.Rank, b.Rank),
@@ -284,7 +284,7 @@
 		s.assumeWarmup(c.now, Result(m.Result))
 		o.remove(key)
 	case wire.RequestCanceled:
-		o.queue = slices.DeleteFunc(o.queue, func(a *slotRequest) bool { return a.from == from && a.ID == m.ID })
+		o.queue = slices.DeleteFunc(o.queue, func(a *receivedRequest) bool { return a.from == from && a.ID == m.ID })
 	}
 	c.serveQueue(s)
 }
@@ -343,7 +343,7 @@
 				s.owned.abandon(key, c.now)
 			}
 		}
-		s.owned.queue = slices.DeleteFunc(s.owned.queue, func(a *slotRequest) bool { return a.from == holder })
+		s.owned.queue = slices.DeleteFunc(s.owned.queue, func(a *receivedRequest) bool { return a.from == holder })
 		c.serveQueue(s)
 	}
 }
--- a/pkg/admit/pause_test.go
+++ b/pkg/admit/pause_test.go
@@ -43,17 +43,17 @@
 	return append([]admit.Action(nil), h.core.Step(h.now, ev)...)
 }
 
-// ask adds a request and returns its ID.
-func (h *pausedHolder) ask(deadline time.Duration) uint64 {
+// submit adds a request and returns its ID.
+func (h *pausedHolder) submit(deadline time.Duration) uint64 {
 	r := admit.Request{ID: 1, Service: service, Target: 400 * time.Millisecond, MaxWait: deadline, Deadline: h.now + deadline}
-	asks := 0
+	sent := 0
 	for _, a := range h.step(admit.Arrive{Request: r}) {
 		if s, ok := a.(admit.Send); ok && s.To == otherOwner {
-			asks++
+			sent++
 		}
 	}
-	if asks != 1 {
-		h.t.Fatalf("%d slot requests to the owner, want 1", asks)
+	if sent != 1 {
+		h.t.Fatalf("%d slot requests to the owner, want 1", sent)
 	}
 	return r.ID
 }
@@ -95,7 +95,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := newPausedHolder(t)
-			id := h.ask(tc.deadline)
+			id := h.submit(tc.deadline)
 			h.now += tc.pause
 			starts, refuses, notified := summarize(h.grant(id))
 			if starts != tc.starts || refuses != tc.refuses {
@@ -112,7 +112,7 @@
 // of the owner.
 func TestOwnPauseIsNoOwnerTimeout(t *testing.T) {
 	h := newPausedHolder(t)
-	id := h.ask(time.Minute)
+	id := h.submit(time.Minute)
 	h.now += 500 * time.Millisecond
 	if starts, _, _ := summarize(h.run(30 * time.Millisecond)); starts {
 		t.Error("started without a grant")
@@ -121,7 +121,7 @@
 		t.Error("not started after the grant")
 	}
 	h = newPausedHolder(t)
-	h.ask(time.Minute)
+	h.submit(time.Minute)
 	h.now += 500 * time.Millisecond
 	if starts, _, _ := summarize(h.run(200 * time.Millisecond)); !starts {
 		t.Error("not started although the owner does not reply after the pause")
--- a/pkg/admit/peer.go
+++ b/pkg/admit/peer.go
@@ -43,9 +43,9 @@
 
 // retryAfterOwnerLoss repeats the slot requests that were sent to an owner that is gone.
 func (c *Core) retryAfterOwnerLoss(r *request, owner string) {
-	before := len(r.asks)
-	r.asks = slices.DeleteFunc(r.asks, func(a *ask) bool { return a.owner == owner })
-	if len(r.asks) != before {
+	before := len(r.slotRequests)
+	r.slotRequests = slices.DeleteFunc(r.slotRequests, func(a *slotRequest) bool { return a.owner == owner })
+	if len(r.slotRequests) != before {
 		c.advance(r)
 	}
 }
--- a/pkg/admit/request.go
+++ b/pkg/admit/request.go
@@ -53,8 +53,8 @@
 	arrivedAt time.Duration
 	// cost is what the request is charged to its account, in tokens.
 	cost float64
-	// asks are the slot requests sent to owners.
-	asks []*ask
+	// slotRequests are the slot requests sent to owners.
+	slotRequests []*slotRequest
 	// server is the backend server to which it was sent, nil while it waits.
 	server *server
 	// startedAt is when it was sent.
@@ -68,8 +68,8 @@
 	charged int64
 }
 
-// ask is a slot request to the owner of a backend server.
-type ask struct {
+// slotRequest is a slot request that this router sent to the owner of a backend server.
+type slotRequest struct {
 	server *server
 	owner  string
 	sentAt time.Duration
@@ -77,18 +77,18 @@
 	// source is the backend server from which to copy the shared prefix, nil if no copy is
 	// needed or possible.
 	source *server
-	state  askState
+	state  slotState
 	// isolation is the level required when the slot was requested.
 	isolation isolation
 }
 
-type askState uint8
+type slotState uint8
 
 const (
-	askSent askState = iota
-	askQueued
-	askDenied
-	askUnanswered
+	slotRequested slotState = iota
+	slotQueued
+	slotDenied
+	slotUnanswered
 )
 
 // outputCost is the cost of an output token relative to a prompt token.
@@ -233,7 +233,7 @@
 	r.startedAt = c.now
 	s.requests[r.ID] = r
 	c.removeWaiting(r)
-	c.cancelAsks(r, s)
+	c.cancelSlotRequests(r, s)
 	if r.account != 0 {
 		c.accounts.get(r.account).started.add(c.now, r.cost)
 	}
@@ -247,9 +247,9 @@
 	c.emit(a)
 }
 
-// cancelAsks withdraws the open slot requests at other backend servers.
-func (c *Core) cancelAsks(r *request, chosen *server) {
-	for _, a := range r.asks {
+// cancelSlotRequests withdraws the open slot requests at other backend servers.
+func (c *Core) cancelSlotRequests(r *request, chosen *server) {
+	for _, a := range r.slotRequests {
 		if a.server != chosen && a.isOpen() {
 			c.send(a.owner, &wire.RequestUpdate{ID: r.ID, Server: a.server.key, Kind: wire.RequestCanceled})
 		}
@@ -257,8 +257,8 @@
 }
 
 // isOpen reports whether the owner may still grant the slot.
-func (a *ask) isOpen() bool {
-	return a.state == askQueued || a.state == askSent
+func (a *slotRequest) isOpen() bool {
+	return a.state == slotQueued || a.state == slotRequested
 }
 
 func (c *Core) removeWaiting(r *request) {
@@ -269,7 +269,7 @@
 func (c *Core) discard(r *request) {
 	delete(c.requests, r.ID)
 	c.removeWaiting(r)
-	c.cancelAsks(r, nil)
+	c.cancelSlotRequests(r, nil)
 	if c.weighted != nil {
 		c.weighted.dequeue(r, c.now)
 	}
--- a/pkg/admit/ask.go
+++ b/pkg/admit/slot_request.go
@@ -31,8 +31,8 @@
 	// smallPrefixFraction is the fraction of a prompt up to which processing the shared
 	// prefix again is cheap.
 	smallPrefixFraction = 0.25
-	// maxAsks bounds the slot requests per request.
-	maxAsks = 4
+	// maxSlotRequests bounds the slot requests per request.
+	maxSlotRequests = 4
 	// busyPeriod is how long a backend server without a free slot is skipped if there are
 	// others.
 	busyPeriod = 30 * time.Millisecond
@@ -77,52 +77,52 @@
 		c.refuse(r, err)
 		return
 	}
-	if c.expireAsks(r) {
+	if c.expireSlotRequests(r) {
 		return
 	}
 	if c.weighted != nil {
-		c.renewAsks(r)
+		c.renewSlotRequests(r)
 	}
-	if r.awaitsReply() || c.waitsForTrial(r) || !c.mayAsk(r) || !c.withinLimits(r) {
+	if r.awaitsReply() || c.waitsForTrial(r) || !c.mayRequestSlot(r) || !c.withinLimits(r) {
 		return
 	}
-	if r.isQueued() && !c.maySpill(r) || len(r.asks) >= c.maxAsks(r) {
+	if r.isQueued() && !c.maySpill(r) || len(r.slotRequests) >= c.slotRequestLimit(r) {
 		return
 	}
 	if s, reason := c.nextServer(r); s != nil {
-		c.askOwner(r, s, reason)
+		c.requestSlot(r, s, reason)
 	}
 }
 
-// maxAsks returns the maximum number of slot requests of a request. If accounts are scheduled
-// by weight it grows with the waiting time, so that no backend server stays idle.
-func (c *Core) maxAsks(r *request) int {
+// slotRequestLimit returns the maximum number of slot requests of a request. If accounts are
+// scheduled by weight it grows with the waiting time, so that no backend server stays idle.
+func (c *Core) slotRequestLimit(r *request) int {
 	if c.weighted == nil {
-		return maxAsks
+		return maxSlotRequests
 	}
-	if len(r.asks) == 0 {
+	if len(r.slotRequests) == 0 {
 		return 1
 	}
-	return min(maxAsks, 1+int((c.now-r.asks[0].sentAt)/extraAskInterval))
+	return min(maxSlotRequests, 1+int((c.now-r.slotRequests[0].sentAt)/extraRequestInterval))
 }
 
-// renewAsks drops slot requests that are no longer valid, so that others can be made, and
-// repeats those that have been queued for long.
-func (c *Core) renewAsks(r *request) {
-	r.asks = slices.DeleteFunc(r.asks, func(a *ask) bool {
+// renewSlotRequests drops slot requests that are no longer valid, so that others can be made,
+// and repeats those that have been queued for long.
+func (c *Core) renewSlotRequests(r *request) {
+	r.slotRequests = slices.DeleteFunc(r.slotRequests, func(a *slotRequest) bool {
 		switch a.state {
-		case askDenied:
+		case slotDenied:
 			return c.now >= a.server.busyUntil
-		case askUnanswered:
+		case slotUnanswered:
 			return !c.isUnresponsive(a.owner)
 		default:
 			return a.owner != a.server.owner
 		}
 	})
-	for _, a := range r.asks {
-		if a.state == askQueued && c.now-a.sentAt >= renewAskAfter {
+	for _, a := range r.slotRequests {
+		if a.state == slotQueued && c.now-a.sentAt >= renewRequestAfter {
 			a.sentAt = c.now
-			c.sendAsk(r, a)
+			c.sendSlotRequest(r, a)
 		}
 	}
 }
@@ -195,22 +195,22 @@
 
 // awaitsReply reports whether any slot request has had no reply yet.
 func (r *request) awaitsReply() bool {
-	return slices.ContainsFunc(r.asks, func(a *ask) bool { return a.state == askSent })
+	return slices.ContainsFunc(r.slotRequests, func(a *slotRequest) bool { return a.state == slotRequested })
 }
 
 func (r *request) isQueued() bool {
-	return slices.ContainsFunc(r.asks, func(a *ask) bool { return a.state == askQueued })
+	return slices.ContainsFunc(r.slotRequests, func(a *slotRequest) bool { return a.state == slotQueued })
 }
 
-// expireAsks handles owners that did not reply in time. It reports whether the request was
+// expireSlotRequests handles owners that did not reply in time. It reports whether the request was
 // admitted without a grant.
-func (c *Core) expireAsks(r *request) bool {
-	for _, a := range r.asks {
+func (c *Core) expireSlotRequests(r *request) bool {
+	for _, a := range r.slotRequests {
 		// Replies could not be processed during a pause of this process.
-		if a.state != askSent || c.now-max(a.sentAt, c.pause.to) < replyTimeout+lagFactor*c.lag {
+		if a.state != slotRequested || c.now-max(a.sentAt, c.pause.to) < replyTimeout+lagFactor*c.lag {
 			continue
 		}
-		a.state = askUnanswered
+		a.state = slotUnanswered
 		c.unresponsiveSince[a.owner] = c.now
 		if c.admitLocally(r, a) {
 			return true
@@ -226,7 +226,7 @@
 
 // admitLocally starts a request without a grant, on this router's own estimate of the load at
 // the backend server.
-func (c *Core) admitLocally(r *request, a *ask) bool {
+func (c *Core) admitLocally(r *request, a *slotRequest) bool {
 	s := a.server
 	if c.weighted != nil || !c.accepts(s) || s.isWarming(c.now) || float64(s.running(c.now)) >= localSlotFraction*float64(s.Slots) {
 		return false
@@ -246,20 +246,20 @@
 	return true
 }
 
-// askOwner requests a slot from the owner of a backend server.
-func (c *Core) askOwner(r *request, s *server, reason string) {
-	a := &ask{server: s, owner: s.owner, sentAt: c.now, reason: reason, source: c.copySource(r, s), isolation: c.isolation(r)}
-	r.asks = append(r.asks, a)
+// requestSlot requests a slot from the owner of a backend server.
+func (c *Core) requestSlot(r *request, s *server, reason string) {
+	a := &slotRequest{server: s, owner: s.owner, sentAt: c.now, reason: reason, source: c.copySource(r, s), isolation: c.isolation(r)}
+	r.slotRequests = append(r.slotRequests, a)
 	if c.isUnresponsive(s.owner) {
-		a.state = askUnanswered
+		a.state = slotUnanswered
 		c.admitLocally(r, a)
 		return
 	}
-	c.sendAsk(r, a)
+	c.sendSlotRequest(r, a)
 }
 
-// sendAsk sends a slot request.
-func (c *Core) sendAsk(r *request, a *ask) {
+// sendSlotRequest sends a slot request.
+func (c *Core) sendSlotRequest(r *request, a *slotRequest) {
 	s, reason := a.server, a.reason
 	target := r.Target
 	if target == 0 {
@@ -289,7 +289,7 @@
 		}
 	}
 	r, ok := c.requests[reply.ID]
-	a := r.askOf(reply.Server)
+	a := r.slotRequestAt(reply.Server)
 	if !ok || r.server != nil || a == nil {
 		if reply.State == wire.SlotGranted && (r == nil || r.server == nil || r.server.key != reply.Server) {
 			c.send(from, &wire.RequestUpdate{ID: reply.ID, Server: reply.Server, Kind: wire.RequestEnded, Result: uint8(Unknown)})
@@ -299,15 +299,15 @@
 	switch {
 	case reply.State == wire.SlotGranted && c.grantExpired(r, a):
 		c.send(from, &wire.RequestUpdate{ID: reply.ID, Server: reply.Server, Kind: wire.RequestEnded, Result: uint8(Unknown)})
-		a.state = askDenied
+		a.state = slotDenied
 		c.advance(r)
 	case reply.State == wire.SlotGranted:
 		c.startGranted(r, a, reply)
 	case reply.State == wire.SlotQueued:
-		a.state = askQueued
+		a.state = slotQueued
 		c.advance(r)
 	case reply.State == wire.SlotDenied:
-		a.state = askDenied
+		a.state = slotDenied
 		c.advance(r)
 	}
 }
@@ -316,22 +316,22 @@
 // sent, the backend server may have stopped taking requests, the account may have reached its
 // limits, the request may need stricter isolation or have passed its deadline, or the owner may
 // have reassigned the slot.
-func (c *Core) grantExpired(r *request, a *ask) bool {
+func (c *Core) grantExpired(r *request, a *slotRequest) bool {
 	return !c.accepts(a.server) || !c.withinLimits(r) || c.isolation(r) > a.isolation || c.waitsForTrial(r) || c.now >= r.Deadline || c.mayBeReassigned(a)
 }
 
 // mayBeReassigned reports whether the reply may have arrived during a pause of this process so
 // long that the owner has reassigned the slot.
-func (c *Core) mayBeReassigned(a *ask) bool {
+func (c *Core) mayBeReassigned(a *slotRequest) bool {
 	long := c.pause.to-c.pause.from >= grantValidFor
 	return long && a.sentAt <= c.pause.from && c.now-c.pause.to < resumeGrace
 }
 
-func (r *request) askOf(server wire.NameHash) *ask {
+func (r *request) slotRequestAt(server wire.NameHash) *slotRequest {
 	if r == nil {
 		return nil
 	}
-	for _, a := range r.asks {
+	for _, a := range r.slotRequests {
 		if a.server.key == server {
 			return a
 		}
@@ -340,7 +340,7 @@
 }
 
 // startGranted starts a request for which a slot was granted.
-func (c *Core) startGranted(r *request, a *ask, reply *wire.SlotReply) {
+func (c *Core) startGranted(r *request, a *slotRequest, reply *wire.SlotReply) {
 	r.prefill = reply.OwnPrefillTokens
 	if r.Prefix != 0 && (a.reason != reasonPreferred || reply.CopyPrefix || reply.OwnPrefillTokens > r.Prompt-r.Shared) {
 		c.recordCopy(a.server, r.Prefix)
--- a/pkg/admit/weights.go
+++ b/pkg/admit/weights.go
@@ -13,25 +13,25 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// If the table gives accounts weights, requests may wait until their deadlines, and an owner
-// serves the account with the least service relative to its weight first. Service is what the
-// requests of an account actually used in the whole fleet. Each router counts it per service,
-// and receives the counts of the other routers.
+// If accounts are scheduled by weight, requests wait until their deadlines, and an owner grants
+// slots first to the account with the least usage relative to its weight. Usage is what the
+// requests of an account used in the whole fleet. Each router counts it per service and receives
+// the counts of the other routers.
 
 const (
 	// priorityStep is how much later a request may arrive for each step of its priority and
 	// still go before others of its account. It is finite so that low priorities are not
 	// starved.
 	priorityStep = 2 * time.Second
-	// minAskWindow is the least number of an account's requests for which a router asks for
+	// minRequestWindow is the least number of an account's requests for which a router asks for
 	// slots at a service at a time. It asks for one request per backend server if there are
 	// more of these, to keep all of them busy.
-	minAskWindow = 4
-	// extraAskInterval is the interval at which one more owner is asked for the same request.
-	extraAskInterval = 250 * time.Millisecond
-	// renewAskAfter is the time after which a queued slot request is repeated, since the owner
+	minRequestWindow = 4
+	// extraRequestInterval is the interval at which one more owner is asked for the same request.
+	extraRequestInterval = 250 * time.Millisecond
+	// renewRequestAfter is the time after which a queued slot request is repeated, since the owner
 	// may have lost it.
-	renewAskAfter = 5 * time.Second
+	renewRequestAfter = 5 * time.Second
 	// unreportedTTL is how long an owner charges an account for a slot granted to another
 	// router, until that router reports the usage.
 	unreportedTTL = 250 * time.Millisecond
@@ -74,7 +74,7 @@
 	peerWaitingAt time.Duration
 }
 
-// weightedScheduler schedules accounts by their weights.
+// weightedScheduler schedules accounts by weight.
 type weightedScheduler struct {
 	accounts map[wire.NameHash]table.Account
 	// queues order the accounts of each service by virtual time.
@@ -178,7 +178,7 @@
 	return max(1, u.totalServed/u.totalRequests)
 }
 
-// virtualTime returns the service of an account relative to its weight, including the expected
+// virtualTime returns the usage of an account relative to its weight, including the expected
 // usage of recent grants to other routers.
 func (w *weightedScheduler) virtualTime(k usageKey, now time.Duration) float64 {
 	u := w.usage(k, now)
@@ -252,14 +252,14 @@
 	return cmp.Or(trueFirst(a.MayHaveRun, b.MayHaveRun), cmp.Compare(a.position, b.position), cmp.Compare(a.ID, b.ID))
 }
 
-// mayAsk reports whether a request may ask for slots, because it is among the first of its
+// mayRequestSlot reports whether a request may ask for slots, because it is among the first of its
 // account.
-func (c *Core) mayAsk(r *request) bool {
-	if c.weighted == nil || len(r.asks) > 0 {
+func (c *Core) mayRequestSlot(r *request) bool {
+	if c.weighted == nil || len(r.slotRequests) > 0 {
 		return true
 	}
 	u := c.weighted.usage(r.usageKey(), c.now)
-	window := max(minAskWindow, len(c.service(r.Service).servers))
+	window := max(minRequestWindow, len(c.service(r.Service).servers))
 	at, _ := slices.BinarySearchFunc(u.queue, r, compareQueued)
 	return at < window
 }
@@ -328,7 +328,7 @@
 }
 
 // compareVirtualTime orders queued slot requests by the virtual time of their accounts.
-func (c *Core) compareVirtualTime(s *server, a, b *slotRequest) int {
+func (c *Core) compareVirtualTime(s *server, a, b *receivedRequest) int {
 	if a.Account == b.Account {
 		return cmp.Compare(a.due, b.due)
 	}
--- a/pkg/catalog/vanish.go
+++ b/pkg/catalog/vanish.go
@@ -18,8 +18,7 @@
 // to be kept.
 const minVanished = 2
 
-// recordRemoval records the removal of an entry unless it was planned: the entry was then marked as
-// leaving first.
+// recordRemoval records the removal of an entry that was not marked as leaving first.
 func (c *Catalog) recordRemoval(now time.Duration, old Server) {
 	if !old.Gone && old.Backend.Mark == table.Serving {
 		c.vanished[old.Backend.Name] = vanished{backend: old.Backend, at: now}
--- a/pkg/roster/report.go
+++ b/pkg/roster/report.go
@@ -31,7 +31,7 @@
 	Leaving       bool
 }
 
-// Report is what a router tells another one about the members that it knows.
+// Report is what a router sends another one about the members that it knows.
 type Report struct {
 	// Digest is the sender's digest of the members that it counts as alive.
 	Digest uint64
