--- a/cmd/yarrowctl/status_row.go
+++ b/cmd/yarrowctl/status_row.go
@@ -55,7 +55,7 @@
 // columns are a router's values in a line.
 func (s *statusRow) columns() string {
 	if p := s.Pools; p != nil {
-		return fmt.Sprintf("%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t-\t-\t-\t-\t%s", p.Name, p.Zone, p.Table, len(p.Pools), p.AllWaiting(), p.AllRunning(), p.Leases, p.IdleLeases, stateOf(p.Draining, p.Table))
+		return fmt.Sprintf("%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t-\t-\t-\t-\t%s", p.Name, p.Zone, p.Table, len(p.Pools), p.TotalWaiting(), p.TotalRunning(), p.Leases, p.IdleLeases, stateOf(p.Draining, p.Table))
 	}
 	d := s.Servers
 	closed := "-"
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -132,16 +132,16 @@
 }
 
 func (l load) keyHome() Role {
-	claims := once.HomesEach * l.requests * l.KeyedShare
+	claims := once.HomesPerKey * l.requests * l.KeyedShare
 	r := Role{
 		Name:      "key home",
-		State:     fmt.Sprintf("%.0f keys of the last 10 minutes", claims*once.DefaultKeep.Seconds()),
+		State:     fmt.Sprintf("%.0f keys of the last 10 minutes", claims*once.DefaultRetention.Seconds()),
 		Mechanism: "three homes a key by the platform's list; at most 200000 keys a router",
 	}
 	r.add(2*claims, l.ClaimBytes+l.FrameBytes, l.codec)
 	r.add(2*claims, l.ClaimAnswerBytes+l.FrameBytes, l.codec)
 	r.CPU += claims * l.ClaimMicros * micro
-	r.Memory = claims * once.DefaultKeep.Seconds() * l.KeyMemory
+	r.Memory = claims * once.DefaultRetention.Seconds() * l.KeyMemory
 	return r
 }
 
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -213,9 +213,9 @@
 func (s *Slopes) measureHolder() {
 	p := wire.NewPool("m", "z", 0)
 	h := hold.New()
-	home := hold.Home{Pool: p, Owner: "o", Inc: 1}
-	h.Step(0, hold.Lenders{Zone: "z", Of: map[wire.Pool]hold.Home{p: home}})
-	h.Step(0, hold.Homes{Of: map[string]hold.Home{"m": home}})
+	home := hold.PoolOwner{Pool: p, Owner: "o", Incarnation: 1}
+	h.Step(0, hold.PoolOwners{Zone: "z", Of: map[wire.Pool]hold.PoolOwner{p: home}})
+	h.Step(0, hold.ModelOwners{Of: map[string]hold.PoolOwner{"m": home}})
 	now, id := time.Second, uint64(0)
 	s.RequestMicros = timed(func() {
 		now += time.Millisecond
@@ -236,8 +236,8 @@
 // work of so many accounts, which the benchmarks use too.
 func NewOwner(accounts, slots int) (*pool.Owner, wire.Pool) {
 	p := wire.NewPool("m", "z", 0)
-	o := pool.New("o", p, 0, pool.WithQuiet(0))
-	o.Step(1, pool.Servers{List: []pool.Server{{Name: "b", Slots: slots, Open: true}}})
+	o := pool.New("o", p, 0, pool.WithTakeoverDelay(0))
+	o.Step(1, pool.Servers{List: []pool.Server{{Name: "b", Slots: slots, AcceptsRequests: true}}})
 	d := &wire.Demand{Pool: p, Seq: 1, Stamp: 1}
 	for i := range accounts {
 		d.Waiting = append(d.Waiting, wire.Waiting{Account: accountName(i), Count: 1 << 30})
@@ -317,7 +317,7 @@
 		for i := range n {
 			peers = append(peers, member.Peer{Name: accountName(i)})
 		}
-		m.Step(1, member.List{Peers: peers})
+		m.Step(1, member.PlatformList{Peers: peers})
 		return m
 	})
 }
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -48,9 +48,9 @@
 		KeyedShare: 0.1, LentShare: 0.45, PlatformPerSec: 2000,
 		ControlBytes: 8192, ControlCPU: 0.015, ControlMemory: 128 << 20,
 	}
-	t.ReportsPerSec = 1 / hold.ReportInterval(hold.DefaultReportEvery, int(t.Models)).Seconds()
-	t.ProbesPerSec = 1 / member.DefaultProbeEvery.Seconds()
-	t.SharesPerSec = 1 / pool.ShareInterval(pool.DefaultShareEvery, zones-1).Seconds()
+	t.ReportsPerSec = 1 / hold.ReportInterval(hold.DefaultReportInterval, int(t.Models)).Seconds()
+	t.ProbesPerSec = 1 / member.DefaultProbeInterval.Seconds()
+	t.SharesPerSec = 1 / pool.ShareInterval(pool.DefaultShareInterval, zones-1).Seconds()
 	t.ModelZonesPerNode = t.Models * t.Zones / t.Nodes
 	return t
 }
--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -183,7 +183,7 @@
 	}
 	r := &e.request
 	if r.Attempt == 0 {
-		s.allowance.Request(s.now, r.Model)
+		s.allowance.CountRequest(s.now, r.Model)
 	}
 	s.step(admit.Arrive{Request: admit.Request{
 		ID: id, Service: r.Model, Account: r.Account, AccountRank: r.AccountRank, Rank: r.Rank, Prefix: r.Prefix,
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -44,7 +44,7 @@
 // router is a home of some keys and claims the keys of its callers. Homes are computed from the
 // platform's router list, which ignores liveness, so that an unavailable home keeps its role.
 type idempotencyKeys struct {
-	homes *once.Homes
+	homes *once.KeyStore
 	// routersByZone holds the sorted router addresses of each zone by the platform's list.
 	routersByZone map[string][]string
 	pending       map[uint64]*pendingClaim
@@ -60,7 +60,7 @@
 	answer   chan<- error
 	deadline time.Duration
 	homes    []string
-	ballot   *once.Ballot
+	ballot   *once.ClaimQuorum
 }
 
 func newIdempotencyKeys(self string, now time.Duration, at time.Time) *idempotencyKeys {
@@ -103,7 +103,7 @@
 	e.msg.Seq = k.lastSeq
 	e.deadline = s.now + claimTimeout
 	e.homes = k.homesOf(e.msg.Key, s.d.id.Zone)
-	e.ballot = once.NewBallot(len(e.homes))
+	e.ballot = once.NewClaimQuorum(len(e.homes))
 	k.pending[e.msg.Seq] = e.pendingClaim
 	for _, home := range e.homes {
 		s.sendOrHandle(home, e.msg)
@@ -136,7 +136,7 @@
 		zones = append(zones, zone)
 		slices.Sort(zones)
 	}
-	return once.Of(key, k.routersByZone[once.Zone(key, zones)])
+	return once.HomesOf(key, k.routersByZone[once.HomeZone(key, zones)])
 }
 
 // setRouters replaces the platform's router list.
@@ -156,7 +156,7 @@
 	case *wire.Claim:
 		s.sendOrHandle(from, s.keys.homes.Claim(s.now+s.keys.wallOffset, m))
 	case *wire.ClaimVoid:
-		s.keys.homes.Void(m)
+		s.keys.homes.Release(m)
 	case *wire.ClaimAnswer:
 		s.handleClaimAnswer(from, m)
 	}
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -22,8 +22,8 @@
 	core      *admit.Core
 	catalog   *catalog.Catalog
 	roster    *roster.Roster
-	allowance *allowance.Allowance
-	retryRule allowance.Rule
+	allowance *allowance.Budget
+	retryRule allowance.Config
 	peerLinks map[string]*link
 	estimator *admit.CapacityEstimator
 	nextID    uint64
@@ -134,7 +134,7 @@
 func (s *state) recordPause(from time.Duration) {
 	s.roster.RecordPause(from, s.now)
 	if s.now-from >= maxVouchPause {
-		s.keys.homes.Woke(s.now + s.keys.wallOffset)
+		s.keys.homes.RecordPause(s.now + s.keys.wallOffset)
 	}
 }
 
--- a/internal/measure/baseline.go
+++ b/internal/measure/baseline.go
@@ -89,7 +89,7 @@
 func (b *baseline) run() {
 	settle := time.NewTicker(settleEvery)
 	defer settle.Stop()
-	load := time.NewTicker(router.DefaultLoadEvery)
+	load := time.NewTicker(router.DefaultLoadInterval)
 	defer load.Stop()
 	for {
 		select {
--- a/internal/measure/faults.go
+++ b/internal/measure/faults.go
@@ -203,7 +203,7 @@
 // freeze stops what decides in a router.
 func freeze(n *node.Node) (thaw func()) {
 	if n.Router != nil {
-		return n.Router.Freeze()
+		return n.Router.PauseLoop()
 	}
 	return n.Dispatch.PauseLoop()
 }
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -47,23 +47,23 @@
 func (v *variant) add(change string) error {
 	key, value, timed := strings.Cut(change, "=")
 	if change == "no-prefix" {
-		v.hold = append(v.hold, hold.WithPrefixes(false))
+		v.hold = append(v.hold, hold.WithPrefixAffinity(false))
 		return nil
 	}
 	if change == "no-run-on" {
-		v.pool = append(v.pool, pool.WithRunOn(false))
+		v.pool = append(v.pool, pool.WithExtrapolation(false))
 		return nil
 	}
 	if !timed {
 		v.pool = append(v.pool, pool.WithEstimator(pool.Estimator(change)))
-		if change != string(pool.AsLastShared) && change != string(pool.CountedByZones) {
+		if change != string(pool.LastShare) && change != string(pool.ScaledByZones) {
 			return fmt.Errorf("%q is no estimator", change)
 		}
 		return nil
 	}
 	if key == "agree" {
 		part, err := strconv.ParseFloat(value, 64)
-		v.pool = append(v.pool, pool.WithAgree(part))
+		v.pool = append(v.pool, pool.WithConvergence(part))
 		return err
 	}
 	d, err := time.ParseDuration(value)
@@ -72,11 +72,11 @@
 	}
 	switch key {
 	case "share":
-		v.pool = append(v.pool, pool.WithShareEvery(d))
+		v.pool = append(v.pool, pool.WithShareInterval(d))
 	case "look-ahead":
-		v.pool = append(v.pool, pool.WithLookAhead(d))
+		v.pool = append(v.pool, pool.WithChargeHorizon(d))
 	case "report":
-		v.hold = append(v.hold, hold.WithReportEvery(d))
+		v.hold = append(v.hold, hold.WithReportInterval(d))
 	default:
 		return fmt.Errorf("%q cannot be changed", key)
 	}
--- a/internal/measure/run.go
+++ b/internal/measure/run.go
@@ -175,7 +175,7 @@
 		Answered: t.ends[answered], RefusedNotRun: t.ends[refusedNotRun], MayHaveRun: t.ends[mayHaveRun], Unanswered: t.ends[unanswered],
 		MixedAnswers: t.mixed, RanAfterNotRun: t.ranOff, RunTwice: f.RunTwice,
 		FairnessGap: round(w.gap), MinShare: round(s.minShare(f.Points)),
-		FairnessBound: round(s.bound(t.largest, pool.DefaultShareEvery+hold.DefaultReportEvery)),
+		FairnessBound: round(s.bound(t.largest, pool.DefaultShareInterval+hold.DefaultReportInterval)),
 		Utilisation:   round(f.Utilisation), IdleWhileWaiting: round(1 - f.Utilisation), Overload: round(f.Overload),
 		TTFTP50: ms(percentile(t.ttft, 0.5)), TTFTP95: ms(percentile(t.ttft, 0.95)),
 		EditInForce: ms(c.versions.slowest), TableReverts: c.versions.reverts,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -249,8 +249,8 @@
 
 // setUpRouter creates a router.Router, which owns pools of backend servers.
 func (n *Node) setUpRouter(s config.Settings, o options, t tlsConfigs, incarnation uint64) {
-	id := router.Identity{Name: s.Name, Zone: s.Zone, Inc: incarnation}
-	n.Peers = peer.New(id.Name, id.Zone, id.Inc, n.listeners.peers, n.peerOptions(o, t)...)
+	id := router.Identity{Name: s.Name, Zone: s.Zone, Incarnation: incarnation}
+	n.Peers = peer.New(id.Name, id.Zone, id.Incarnation, n.listeners.peers, n.peerOptions(o, t)...)
 	n.Platform = platform.New(s.Platform, platform.WithTransport(&http.Transport{DialContext: o.dialer.DialContext}))
 	n.loads = backend.NewLoadReader(o.dialer)
 	opts := append([]router.Option{router.WithLogger(n.log), router.WithObserver(n.metrics)}, o.router...)
@@ -299,8 +299,8 @@
 	return n.drainNotice
 }
 
-func retryBudget(r config.Retries) allowance.Rule {
-	return allowance.Rule{Ratio: r.Ratio, Extra: r.Extra, Window: r.Window}
+func retryBudget(r config.Retries) allowance.Config {
+	return allowance.Config{Ratio: r.Ratio, Extra: r.Extra, Window: r.Window}
 }
 
 func callerLimits(s config.Settings) front.CallerLimits {
--- a/internal/router/acquire.go
+++ b/internal/router/acquire.go
@@ -185,5 +185,5 @@
 
 func (e release) apply(c *core) {
 	delete(c.served, e.id)
-	c.runHolder(hold.Finished{ID: e.id, Tokens: e.usage.Tokens, Sent: e.usage.Sent, Failed: e.usage.Unreachable})
+	c.runHolder(hold.Finished{ID: e.id, Tokens: e.usage.Tokens, Sent: e.usage.Sent, Unreachable: e.usage.Unreachable})
 }
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -38,7 +38,7 @@
 	answer chan<- error
 	until  time.Duration
 	homes  []string
-	ballot *once.Ballot
+	ballot *once.ClaimQuorum
 }
 
 func keyOf(c front.Claim) string { return c.Account + "\x00" + c.Key }
@@ -75,7 +75,7 @@
 	e.msg.Seq = c.nextID
 	e.until = c.now + claimWithin
 	e.homes = c.keyHomes(e.msg.Key)
-	e.ballot = once.NewBallot(len(e.homes))
+	e.ballot = once.NewClaimQuorum(len(e.homes))
 	c.claims[e.msg.Seq] = e.claiming
 	for _, home := range e.homes {
 		c.send(home, e.msg)
@@ -94,7 +94,7 @@
 
 // keyHomes returns the homes of a key by the platform's list.
 func (c *core) keyHomes(key string) []string {
-	return once.Of(key, c.allListed(once.Zone(key, c.zones())))
+	return once.HomesOf(key, c.allListed(once.HomeZone(key, c.zones())))
 }
 
 // zones returns the availability zones on the platform's list.
@@ -116,7 +116,7 @@
 	case *wire.Claim:
 		c.send(from, c.keys.Claim(c.now, m))
 	case *wire.ClaimVoid:
-		c.keys.Void(m)
+		c.keys.Release(m)
 	case *wire.ClaimAnswer:
 		c.claimAnswered(from, m)
 	}
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -31,7 +31,7 @@
 	holder  *hold.Holder
 	owners  map[wire.Pool]*pool.Owner
 	budget  *retry.Budget
-	keys    *once.Homes
+	keys    *once.KeyStore
 
 	table     *table.Table
 	tableAt   time.Duration
@@ -70,7 +70,7 @@
 	c := &core{
 		r:       r,
 		now:     r.now(),
-		members: member.New(r.id.Name, r.id.Inc, r.id.Inc),
+		members: member.New(r.id.Name, r.id.Incarnation, r.id.Incarnation),
 		sync:    tablesync.New(r.id.Name),
 		holder:  hold.New(r.opt.hold...),
 		owners:  map[wire.Pool]*pool.Owner{},
@@ -99,7 +99,7 @@
 	for len(c.local) > 0 {
 		msg := c.local[0]
 		c.local = c.local[1:]
-		c.receive(c.r.id.Name, c.r.id.Inc, msg)
+		c.receive(c.r.id.Name, c.r.id.Incarnation, msg)
 		c.settleMembers()
 	}
 }
@@ -115,8 +115,8 @@
 // quiet, since others may have taken their pools over meanwhile.
 func (c *core) wake() {
 	c.r.opt.log.Warn("router_was_paused", "gap_ms", (c.now - c.lastRun).Milliseconds())
-	c.sendAll(c.members.Step(c.now, member.Woke{}))
-	c.keys.Woke(c.now)
+	c.sendAll(c.members.Step(c.now, member.Resumed{}))
+	c.keys.RecordPause(c.now)
 	for _, p := range wire.SortedPools(c.owners) {
 		c.dropOwner(p)
 	}
@@ -159,7 +159,7 @@
 	}
 	c.eachOwner(func(wire.Pool) pool.Event { return pool.Tick{} })
 	for _, o := range c.owners {
-		if o.Doubtful() {
+		if o.HasStaleLeases() {
 			c.readSoon()
 			break
 		}
@@ -205,9 +205,9 @@
 		switch a := a.(type) {
 		case tablesync.Send:
 			c.send(a.To, a.Msg)
-		case tablesync.InForce:
+		case tablesync.Activate:
 			c.inForce(a.Table)
-		case tablesync.Refused:
+		case tablesync.Rejected:
 			c.r.opt.log.Error("table_refused", "revision", a.Revision, "error", a.Err)
 			c.r.count("table_refused")
 		}
@@ -231,7 +231,7 @@
 	for _, ob := range c.r.opt.observers {
 		ob.TableInForce(t.Revision)
 	}
-	c.sendAll(c.members.Step(c.now, member.Table{Revision: t.Revision}))
+	c.sendAll(c.members.Step(c.now, member.TableRevision{Revision: t.Revision}))
 	c.tableChanged()
 	if first {
 		c.sendAll(c.members.Step(c.now, member.Join{}))
@@ -246,7 +246,7 @@
 
 func (l lost) apply(c *core) {
 	if l.Refused {
-		c.sendAll(c.members.Step(c.now, member.Refused{Peer: l.Peer}))
+		c.sendAll(c.members.Step(c.now, member.ConnectionRefused{Peer: l.Peer}))
 		c.runSync(tablesync.Unreachable{Peer: l.Peer})
 		for p, n := range c.named {
 			if n.owner == l.Peer {
@@ -254,5 +254,5 @@
 			}
 		}
 	}
-	c.runHolder(hold.Lost{Peer: l.Peer})
+	c.runHolder(hold.MessagesLost{Peer: l.Peer})
 }
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -109,9 +109,9 @@
 	})
 }
 
-type tableRead struct{ tablesync.Platform }
+type tableRead struct{ tablesync.PlatformValue }
 
-func (e tableRead) apply(c *core) { c.runSync(e.Platform) }
+func (e tableRead) apply(c *core) { c.runSync(e.PlatformValue) }
 
 // loadFeed is the task that reads one backend server's load.
 type loadFeed struct {
@@ -173,7 +173,7 @@
 		}
 		r.post(loadRead{backend: b.Name, inFlight: n, err: err})
 		select {
-		case <-time.After(DefaultLoadEvery):
+		case <-time.After(DefaultLoadInterval):
 		case <-soon:
 			if !r.pause(soonAfter) {
 				return
--- a/internal/router/owner.go
+++ b/internal/router/owner.go
@@ -49,14 +49,14 @@
 			closed[b.Name] = true
 		}
 	}
-	c.runHolder(hold.Closed{Backends: closed})
+	c.runHolder(hold.BackendsClosed{Backends: closed})
 	c.reown()
 	weights := c.weights()
 	c.eachOwner(func(p wire.Pool) pool.Event { return pool.Servers{List: poolServers(c.table, c.pools[p])} })
 	c.eachOwner(func(wire.Pool) pool.Event { return pool.Weights{Of: weights} })
 	limits := c.limits()
 	c.eachOwner(func(wire.Pool) pool.Event { return pool.Limits{Of: limits} })
-	c.runHolder(hold.Limited{Accounts: limitedNames(limits)})
+	c.runHolder(hold.LimitedAccounts{Accounts: limitedNames(limits)})
 }
 
 // marks gives the event of the chart that each mark stands for.
@@ -92,7 +92,7 @@
 func poolServers(t *table.Table, backends []table.Backend) []pool.Server {
 	list := make([]pool.Server, 0, len(backends))
 	for _, b := range backends {
-		list = append(list, pool.Server{Name: b.Name, Slots: b.Slots, Open: t.Open(&b), Reports: b.Kind == table.Engine})
+		list = append(list, pool.Server{Name: b.Name, Slots: b.Slots, AcceptsRequests: t.Open(&b), ReportsLoad: b.Kind == table.Engine})
 	}
 	return list
 }
@@ -129,7 +129,7 @@
 func (c *core) membersChanged() {
 	live := c.members.Live()
 	c.r.opt.log.Info("members", "live", len(live))
-	c.runSync(tablesync.Live{Names: live})
+	c.runSync(tablesync.LiveRouters{Names: live})
 	c.reown()
 	c.eachOwner(func(wire.Pool) pool.Event { return c.zoneHolders() })
 	c.readSoon()
@@ -138,15 +138,15 @@
 // ownerOf returns the owner of a pool as this router sees it: by the live
 // routers in the own zone, and by the platform's list elsewhere, unless a
 // router of that zone said otherwise lately.
-func (c *core) ownerOf(p wire.Pool) hold.Home {
+func (c *core) ownerOf(p wire.Pool) hold.PoolOwner {
 	if p.Zone == c.r.id.Zone {
 		o := rendezvous.Owner(p.String(), c.members.Live())
-		return hold.Home{Pool: p, Owner: o, Inc: c.members.Inc(o)}
+		return hold.PoolOwner{Pool: p, Owner: o, Incarnation: c.members.Incarnation(o)}
 	}
 	if n, ok := c.named[p]; ok && c.now-n.at < namedFor {
-		return hold.Home{Pool: p, Owner: n.owner, Inc: n.inc}
+		return hold.PoolOwner{Pool: p, Owner: n.owner, Incarnation: n.inc}
 	}
-	return hold.Home{Pool: p, Owner: rendezvous.Owner(p.String(), c.listed(p.Zone))}
+	return hold.PoolOwner{Pool: p, Owner: rendezvous.Owner(p.String(), c.listed(p.Zone))}
 }
 
 // listed returns the live routers of a zone by the platform's list.
@@ -177,19 +177,19 @@
 	if c.table == nil {
 		return
 	}
-	lenders := make(map[wire.Pool]hold.Home, len(c.pools))
+	lenders := make(map[wire.Pool]hold.PoolOwner, len(c.pools))
 	for p := range c.pools {
 		lenders[p] = c.ownerOf(p)
 	}
 	if c.ownersAt == 0 {
 		c.takeOwnership(lenders)
 	}
-	c.runHolder(hold.Lenders{Zone: c.r.id.Zone, Of: lenders})
-	c.runHolder(hold.Homes{Of: c.homes(lenders)})
+	c.runHolder(hold.PoolOwners{Zone: c.r.id.Zone, Of: lenders})
+	c.runHolder(hold.ModelOwners{Of: c.homes(lenders)})
 	c.eachOwner(func(p wire.Pool) pool.Event { return pool.Siblings{Nodes: siblings(p, lenders)} })
 }
 
-func (c *core) takeOwnership(lenders map[wire.Pool]hold.Home) {
+func (c *core) takeOwnership(lenders map[wire.Pool]hold.PoolOwner) {
 	for _, p := range wire.SortedPools(lenders) {
 		home := lenders[p]
 		_, have := c.owners[p]
@@ -228,7 +228,7 @@
 }
 
 func (c *core) zoneHolders() pool.Holders {
-	return pool.Holders{Names: c.members.Live(), Expected: c.members.Expected()}
+	return pool.Holders{Live: c.members.Live(), Expected: c.members.Expected()}
 }
 
 func (c *core) dropOwner(p wire.Pool) {
@@ -239,7 +239,7 @@
 
 // homes chooses for each model the owner that this router asks: of a pool in
 // its own zone if there is one, spread over the shards by its name.
-func (c *core) homes(lenders map[wire.Pool]hold.Home) map[string]hold.Home {
+func (c *core) homes(lenders map[wire.Pool]hold.PoolOwner) map[string]hold.PoolOwner {
 	near := map[string][]string{}
 	far := map[string][]string{}
 	for p := range lenders {
@@ -248,7 +248,7 @@
 		}
 		far[p.Model] = append(far[p.Model], p.String())
 	}
-	homes := make(map[string]hold.Home, len(far))
+	homes := make(map[string]hold.PoolOwner, len(far))
 	for model, all := range far {
 		from := near[model]
 		if len(from) == 0 {
@@ -264,7 +264,7 @@
 }
 
 // siblings returns the owners of the model's other pools.
-func siblings(p wire.Pool, lenders map[wire.Pool]hold.Home) map[wire.Pool]string {
+func siblings(p wire.Pool, lenders map[wire.Pool]hold.PoolOwner) map[wire.Pool]string {
 	nodes := map[wire.Pool]string{}
 	for q, home := range lenders {
 		if q.Model == p.Model && q != p && home.Owner != "" {
@@ -287,12 +287,12 @@
 		}
 	}
 	c.r.net.SetAddresses(addrs)
-	c.sendAll(c.members.Step(c.now, member.List{Peers: peers}))
+	c.sendAll(c.members.Step(c.now, member.PlatformList{Peers: peers}))
 	c.keys.SetRouters(c.now, c.allListed(c.r.id.Zone))
 	if !c.started {
 		c.started = true
 		c.runSync(tablesync.Start{Peers: c.firstPeers(names)})
-		c.runSync(tablesync.Live{Names: c.members.Expected()})
+		c.runSync(tablesync.LiveRouters{Names: c.members.Expected()})
 	}
 	c.reown()
 }
--- a/internal/router/pages.go
+++ b/internal/router/pages.go
@@ -40,7 +40,7 @@
 	var index pageIndex
 	if err := yaml.Unmarshal(v.Data, &index); err != nil || len(index.Pages) == 0 {
 		t, err := table.Parse(TableName, v.Data)
-		return tableRead{tablesync.Platform{Revision: v.Revision, Table: t, Err: err}}, nil
+		return tableRead{tablesync.PlatformValue{Revision: v.Revision, Table: t, Err: err}}, nil
 	}
 	var list []table.Page
 	for _, name := range slices.Sorted(maps.Keys(index.Pages)) {
@@ -51,7 +51,7 @@
 		list = append(list, table.Page{Name: name, Data: page.Data})
 	}
 	t, err := table.ParsePages(list)
-	return tableRead{tablesync.Platform{Revision: v.Revision, Table: t, Err: err}}, nil
+	return tableRead{tablesync.PlatformValue{Revision: v.Revision, Table: t, Err: err}}, nil
 }
 
 func (p *pages) page(ctx context.Context, name string, revision uint64) (platform.Value, error) {
--- a/internal/router/receive.go
+++ b/internal/router/receive.go
@@ -23,9 +23,9 @@
 		c.sendAll(c.members.Step(c.now, member.Ack{From: from, Msg: m}))
 		c.runSync(tablesync.Revision{From: from, Revision: m.Table})
 	case *wire.TableAsk:
-		c.runSync(tablesync.Asked{From: from, Msg: m})
+		c.runSync(tablesync.TableRequested{From: from, Msg: m})
 	case *wire.TableWhole:
-		c.runSync(tablesync.Whole{From: from, Msg: m})
+		c.runSync(tablesync.FullTable{From: from, Msg: m})
 	case *wire.TableDelta:
 		c.runSync(tablesync.Delta{From: from, Msg: m})
 	case *wire.Demand:
@@ -88,7 +88,7 @@
 		return
 	}
 	if o, ok := c.owners[m.For]; ok {
-		c.runOwner(o, pool.Lent{From: from, Msg: m})
+		c.runOwner(o, pool.Borrowed{From: from, Msg: m})
 		return
 	}
 	back := &wire.Return{Pool: m.Source.Pool, Epoch: m.Source.Epoch}
@@ -107,7 +107,7 @@
 	if c.ownerOf(m.Pool).Owner == from {
 		c.nameOwner(m.Pool, m.Owner, 0)
 	}
-	c.runHolder(hold.Moved{Pool: m.Pool, From: from, To: m.Owner})
+	c.runHolder(hold.OwnerMoved{Pool: m.Pool, From: from, To: m.Owner})
 }
 
 // nameOwner notes who a peer says owns a pool of another zone.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -20,15 +20,15 @@
 
 // The defaults.
 const (
-	// TickEvery is the interval of the core's own clock.
-	TickEvery = 50 * time.Millisecond
+	// TickInterval is the interval of the core's own clock.
+	TickInterval = 50 * time.Millisecond
 	// awayAfter is a gap between two ticks that means the process was
 	// paused: what it believed before may be long out of date.
 	awayAfter = time.Second
-	// DefaultLoadEvery is the interval at which an owner reads a backend
+	// DefaultLoadInterval is the interval at which an owner reads a backend
 	// server's load.
-	DefaultLoadEvery = time.Second
-	inboxSize        = 8192
+	DefaultLoadInterval = time.Second
+	inboxSize           = 8192
 )
 
 // Platform is what the router reads of the platform.
@@ -37,14 +37,14 @@
 	WatchInstances(ctx context.Context, after uint64) (platform.Instances, bool, error)
 }
 
-// Loads reads the load of backend servers.
-type Loads interface {
+// LoadReader reads the load of backend servers.
+type LoadReader interface {
 	// Load returns how many requests run there.
 	Load(ctx context.Context, b table.Backend) (int, error)
 }
 
-// Net carries messages to peers.
-type Net interface {
+// Transport carries messages to peers.
+type Transport interface {
 	Send(to string, msg any)
 	Inbox() <-chan peer.Inbound
 	Losses() <-chan peer.Lost
@@ -57,17 +57,17 @@
 	Name string
 	// Zone is the availability zone.
 	Zone string
-	// Inc is the incarnation: the wall time of the start in nanoseconds.
-	Inc uint64
+	// Incarnation is the incarnation: the wall time of the start in nanoseconds.
+	Incarnation uint64
 }
 
 // Router is one router's scheduler.
 type Router struct {
 	id       Identity
 	opt      options
-	net      Net
+	net      Transport
 	platform Platform
-	loads    Loads
+	loads    LoadReader
 	started  time.Time
 	events   chan event
 	ctx      context.Context
@@ -115,7 +115,7 @@
 }
 
 // New returns a router that Run starts.
-func New(id Identity, n Net, p Platform, loads Loads, opts ...Option) *Router {
+func New(id Identity, n Transport, p Platform, loads LoadReader, opts ...Option) *Router {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Router{
 		id: id, net: n, platform: p, loads: loads,
@@ -165,7 +165,7 @@
 
 // run is the task that owns the core.
 func (r *Router) run(c *core) {
-	tick := time.NewTicker(TickEvery)
+	tick := time.NewTicker(TickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -191,9 +191,9 @@
 	r.busy.Add(int64(time.Since(begun)))
 }
 
-// Freeze stops the core until the returned function is called, as a paused
+// PauseLoop stops the core until the returned function is called, as a paused
 // process would. It is for tests and measurements.
-func (r *Router) Freeze() (thaw func()) {
+func (r *Router) PauseLoop() (thaw func()) {
 	r.pauseMu.Lock()
 	return r.pauseMu.Unlock
 }
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -74,7 +74,7 @@
 			all[b.Name] = BackendStatus{Mark: string(b.Mark)}
 		}
 	}
-	for name, u := range c.holder.Uses() {
+	for name, u := range c.holder.Usage() {
 		b := all[name]
 		b.Running, b.Leases, b.OldestMillis = u.Running, u.Leases, u.Oldest.Milliseconds()
 		all[name] = b
@@ -106,7 +106,7 @@
 	if s := r.snapshot.status.Load(); s != nil {
 		return *s
 	}
-	return Status{Name: r.id.Name, Zone: r.id.Zone, Incarnation: r.id.Inc}
+	return Status{Name: r.id.Name, Zone: r.id.Zone, Incarnation: r.id.Incarnation}
 }
 
 // State is Status for the admin listener.
@@ -130,12 +130,12 @@
 	}
 	c.snapped = c.now
 	s := &Status{
-		Name: c.r.id.Name, Zone: c.r.id.Zone, Incarnation: c.r.id.Inc,
+		Name: c.r.id.Name, Zone: c.r.id.Zone, Incarnation: c.r.id.Incarnation,
 		Table: c.sync.Revision(), Reader: c.sync.Reader(), Draining: c.draining,
-		Members: c.members.All(), Waiting: c.holder.Waiting(), Backends: c.backendStatus(), Counts: c.r.counts(),
+		Members: c.members.Statuses(), Waiting: c.holder.Waiting(), Backends: c.backendStatus(), Counts: c.r.counts(),
 		Accounts: map[string][]pool.AccountStatus{},
 	}
-	if bad := c.sync.LastRefused(); bad != nil {
+	if bad := c.sync.LastRejected(); bad != nil {
 		s.RefusedTable = bad.Revision
 		s.Refusal = bad.Err.Error()
 	}
@@ -164,8 +164,8 @@
 	}
 }
 
-// AllWaiting returns how many requests wait.
-func (s *Status) AllWaiting() int {
+// TotalWaiting returns how many requests wait.
+func (s *Status) TotalWaiting() int {
 	n := 0
 	for _, accounts := range s.Waiting {
 		for _, k := range accounts {
@@ -175,8 +175,8 @@
 	return n
 }
 
-// AllRunning returns how many requests run.
-func (s *Status) AllRunning() int {
+// TotalRunning returns how many requests run.
+func (s *Status) TotalRunning() int {
 	n := 0
 	for _, b := range s.Backends {
 		n += b.Running
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -176,7 +176,7 @@
 	r.out = map[string]*simLink{}
 	r.in = map[string]*wire.Decoder{}
 	r.readRev = 0
-	id := Identity{Name: name, Zone: r.zone, Inc: r.inc}
+	id := Identity{Name: name, Zone: r.zone, Incarnation: r.inc}
 	r.router = New(id, r, nil, noLoads{}, WithLogger(slog.New(slog.DiscardHandler)),
 		WithClock(func() time.Duration { return w.now }), WithObserver(r))
 	r.core = newCore(r.router)
@@ -326,7 +326,7 @@
 	r.readRev = w.shown
 	t := w.past[w.shown]
 	t.Index()
-	r.step(tableRead{tablesync.Platform{Revision: w.shown, Table: &t}})
+	r.step(tableRead{tablesync.PlatformValue{Revision: w.shown, Table: &t}})
 }
 
 // deliver hands over what is due. What is under way over a cut is lost, and
--- a/pkg/allowance/allowance.go
+++ b/pkg/allowance/allowance.go
@@ -7,16 +7,16 @@
 
 import "time"
 
-// Rule is the fleet's allowance: within any window, the repeats to a service
+// Config is the fleet's allowance: within any window, the repeats to a service
 // are at most Ratio times its requests, and Extra more.
-type Rule struct {
+type Config struct {
 	Ratio  float64
 	Extra  float64
 	Window time.Duration
 }
 
-// DefaultRule is used where settings give none.
-func DefaultRule() Rule { return Rule{Ratio: 0.1, Extra: 20, Window: 10 * time.Second} }
+// DefaultConfig is used where settings give none.
+func DefaultConfig() Config { return Config{Ratio: 0.1, Extra: 20, Window: 10 * time.Second} }
 
 const (
 	// keepBack is the part of the allowance that is used; the rest is for
@@ -26,9 +26,9 @@
 	buckets = 20
 )
 
-// Allowance is one router's part.
-type Allowance struct {
-	rule     Rule
+// Budget is one router's part.
+type Budget struct {
+	rule     Config
 	started  time.Duration
 	services map[string]*counts
 }
@@ -41,19 +41,19 @@
 }
 
 // New returns the part of a router that starts at the time now.
-func New(rule Rule, now time.Duration) *Allowance {
-	return &Allowance{rule: rule, started: now, services: map[string]*counts{}}
+func New(rule Config, now time.Duration) *Budget {
+	return &Budget{rule: rule, started: now, services: map[string]*counts{}}
 }
 
-// SetRule changes the rule from now on.
-func (a *Allowance) SetRule(rule Rule) {
+// Reconfigure changes the rule from now on.
+func (a *Budget) Reconfigure(rule Config) {
 	if rule.Window != a.rule.Window {
 		clear(a.services)
 	}
 	a.rule = rule
 }
 
-func (a *Allowance) at(now time.Duration, service string) *counts {
+func (a *Budget) at(now time.Duration, service string) *counts {
 	c, ok := a.services[service]
 	if !ok {
 		c = &counts{}
@@ -73,15 +73,15 @@
 	c.bucket = max(c.bucket, bucket)
 }
 
-// Request counts a request for a service.
-func (a *Allowance) Request(now time.Duration, service string) {
+// CountRequest counts a request for a service.
+func (a *Budget) CountRequest(now time.Duration, service string) {
 	c := a.at(now, service)
 	c.requests[c.bucket%buckets]++
 }
 
 // Spend takes one repeat, if there is one left. Routers is how many share the
 // fleet's extra.
-func (a *Allowance) Spend(now time.Duration, service string, routers int) bool {
+func (a *Budget) Spend(now time.Duration, service string, routers int) bool {
 	c := a.at(now, service)
 	requests, repeats := 0, 0
 	for i := range buckets {
@@ -97,7 +97,7 @@
 
 // extra is this router's part of the fixed extra. An earlier start of it may
 // have used that up, so it grows during the first window.
-func (a *Allowance) extra(now time.Duration, routers int) float64 {
+func (a *Budget) extra(now time.Duration, routers int) float64 {
 	part := a.rule.Extra / float64(max(1, routers))
 	if up := now - a.started; up < a.rule.Window {
 		part *= up.Seconds() / a.rule.Window.Seconds()
--- a/pkg/allowance/allowance_test.go
+++ b/pkg/allowance/allowance_test.go
@@ -9,10 +9,10 @@
 	"github.com/yarrowmast/yarrowmast/pkg/allowance"
 )
 
-var rule = allowance.Rule{Ratio: 0.2, Extra: 54, Window: 10 * time.Second}
+var rule = allowance.Config{Ratio: 0.2, Extra: 54, Window: 10 * time.Second}
 
 // spend takes as many repeats as there are.
-func spend(a *allowance.Allowance, now time.Duration, routers int) int {
+func spend(a *allowance.Budget, now time.Duration, routers int) int {
 	n := 0
 	for a.Spend(now, "desk", routers) {
 		n++
@@ -23,19 +23,19 @@
 func TestSpend(t *testing.T) {
 	const second = time.Second
 	tests := map[string]struct {
-		do   func(a *allowance.Allowance)
+		do   func(a *allowance.Budget)
 		at   time.Duration
 		want int
 	}{
-		"nothing at the start":         {func(*allowance.Allowance) {}, 0, 0},
-		"the extra's part grows":       {func(*allowance.Allowance) {}, 5 * second, 7},
-		"the whole part":               {func(*allowance.Allowance) {}, 20 * second, 15},
-		"earned by requests":           {func(a *allowance.Allowance) { requests(a, 20*second, 100) }, 20 * second, 32},
-		"requests of long ago":         {func(a *allowance.Allowance) { requests(a, 20*second, 100) }, 31 * second, 15},
-		"spent within the window":      {func(a *allowance.Allowance) { spend(a, 20*second, 3) }, 29 * second, 0},
-		"spent before it":              {func(a *allowance.Allowance) { spend(a, 20*second, 3) }, 30*second + second/2, 15},
-		"another service is its own":   {func(a *allowance.Allowance) { a.Spend(20*second, "other", 3) }, 20 * second, 15},
-		"a pause of more than windows": {func(a *allowance.Allowance) { spend(a, 20*second, 3) }, 1000 * second, 15},
+		"nothing at the start":         {func(*allowance.Budget) {}, 0, 0},
+		"the extra's part grows":       {func(*allowance.Budget) {}, 5 * second, 7},
+		"the whole part":               {func(*allowance.Budget) {}, 20 * second, 15},
+		"earned by requests":           {func(a *allowance.Budget) { requests(a, 20*second, 100) }, 20 * second, 32},
+		"requests of long ago":         {func(a *allowance.Budget) { requests(a, 20*second, 100) }, 31 * second, 15},
+		"spent within the window":      {func(a *allowance.Budget) { spend(a, 20*second, 3) }, 29 * second, 0},
+		"spent before it":              {func(a *allowance.Budget) { spend(a, 20*second, 3) }, 30*second + second/2, 15},
+		"another service is its own":   {func(a *allowance.Budget) { a.Spend(20*second, "other", 3) }, 20 * second, 15},
+		"a pause of more than windows": {func(a *allowance.Budget) { spend(a, 20*second, 3) }, 1000 * second, 15},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -48,9 +48,9 @@
 	}
 }
 
-func requests(a *allowance.Allowance, at time.Duration, n int) {
+func requests(a *allowance.Budget, at time.Duration, n int) {
 	for range n {
-		a.Request(at, "desk")
+		a.CountRequest(at, "desk")
 	}
 }
 
@@ -60,7 +60,7 @@
 func TestFleetKeepsTheRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const routers = 3
-		var fleet [routers]*allowance.Allowance
+		var fleet [routers]*allowance.Budget
 		for i := range fleet {
 			fleet[i] = allowance.New(rule, 0)
 		}
@@ -71,7 +71,7 @@
 				fleet[i] = allowance.New(rule, now)
 			}
 			for range rapid.IntRange(0, 5).Draw(t, "requests") {
-				fleet[i].Request(now, "desk")
+				fleet[i].CountRequest(now, "desk")
 				asked = append(asked, now)
 			}
 			for range rapid.IntRange(0, 8).Draw(t, "repeats") {
--- a/pkg/hold/event.go
+++ b/pkg/hold/event.go
@@ -36,8 +36,8 @@
 	Tokens int64
 	// Sent says whether any byte may have reached the backend server.
 	Sent bool
-	// Failed says that the backend server could not be reached.
-	Failed bool
+	// Unreachable says that the backend server could not be reached.
+	Unreachable bool
 }
 
 // Granted is a grant of leases.
@@ -61,42 +61,42 @@
 // Tick lets time pass. Tokens is what running requests were served so far.
 type Tick struct{ Tokens map[uint64]int64 }
 
-// Home names the owner to ask for a model.
-type Home struct {
+// PoolOwner names the owner to ask for a model.
+type PoolOwner struct {
 	Pool wire.Pool
 	// Owner is a router; "" if nobody is known.
 	Owner string
-	// Inc is the owner's incarnation, 0 if not known.
-	Inc uint64
+	// Incarnation is the owner's incarnation, 0 if not known.
+	Incarnation uint64
 }
 
-// Homes replaces the owner to ask, by model. A model that is not named is
+// ModelOwners replaces the owner to ask, by model. A model that is not named is
 // served nowhere.
-type Homes struct{ Of map[string]Home }
+type ModelOwners struct{ Of map[string]PoolOwner }
 
-// Lenders names the present owner of every pool, by pool. Zone is the
+// PoolOwners names the present owner of every pool, by pool. Zone is the
 // router's own availability zone.
-type Lenders struct {
+type PoolOwners struct {
 	Zone string
-	Of   map[wire.Pool]Home
+	Of   map[wire.Pool]PoolOwner
 }
 
-// Moved says that a router is not the owner of a pool, and who is.
-type Moved struct {
+// OwnerMoved says that a router is not the owner of a pool, and who is.
+type OwnerMoved struct {
 	Pool wire.Pool
 	From string
 	To   string
 }
 
-// Closed replaces the set of backend servers that take no new work.
-type Closed struct{ Backends map[string]bool }
+// BackendsClosed replaces the set of backend servers that take no new work.
+type BackendsClosed struct{ Backends map[string]bool }
 
-// Limited replaces the accounts that have limits over the whole fleet. Their
+// LimitedAccounts replaces the accounts that have limits over the whole fleet. Their
 // requests go by way of the owner, who counts them, and not on standing leases.
-type Limited struct{ Accounts map[string]bool }
+type LimitedAccounts struct{ Accounts map[string]bool }
 
-// Lost says that messages to or from a router may have been lost.
-type Lost struct{ Peer string }
+// MessagesLost says that messages to or from a router may have been lost.
+type MessagesLost struct{ Peer string }
 
 // Action is what the caller of Step does for the Holder.
 type Action interface{ action() }
--- a/pkg/hold/holder.go
+++ b/pkg/hold/holder.go
@@ -22,7 +22,7 @@
 	leases   map[key]*held
 	// byPool lists the leases of each pool, idle or running.
 	byPool   map[wire.Pool]*lent
-	lenders  map[wire.Pool]Home
+	lenders  map[wire.Pool]PoolOwner
 	zone     string
 	closed   map[string]bool
 	limited  map[string]bool
@@ -36,7 +36,7 @@
 // model is what waits and what is free for one model.
 type model struct {
 	name   string
-	home   Home
+	home   PoolOwner
 	seq    uint64
 	seen   uint64
 	queues map[string]*queue
@@ -89,7 +89,7 @@
 		requests: map[uint64]*request{},
 		leases:   map[key]*held{},
 		byPool:   map[wire.Pool]*lent{},
-		lenders:  map[wire.Pool]Home{},
+		lenders:  map[wire.Pool]PoolOwner{},
 		queued:   map[string]int{},
 	}
 	for _, f := range opts {
@@ -128,8 +128,8 @@
 	return all
 }
 
-// Use is what this router does on one backend server.
-type Use struct {
+// BackendUsage is what this router does on one backend server.
+type BackendUsage struct {
 	// Running requests, and how long the oldest has run.
 	Running int
 	Oldest  time.Duration
@@ -137,9 +137,9 @@
 	Leases int
 }
 
-// Uses returns what this router does on each backend server.
-func (h *Holder) Uses() map[string]Use {
-	uses := map[string]Use{}
+// Usage returns what this router does on each backend server.
+func (h *Holder) Usage() map[string]BackendUsage {
+	uses := map[string]BackendUsage{}
 	for _, l := range h.leases {
 		u := uses[l.Backend]
 		if l.state == chart.Running {
--- a/pkg/hold/lease.go
+++ b/pkg/hold/lease.go
@@ -103,7 +103,7 @@
 func (e Recalled) apply(h *Holder) {
 	if e.Msg.Tell {
 		if h.lenders[e.Msg.Pool].Owner == e.From {
-			h.moveLeases(e.Msg.Pool, Home{Owner: e.From}, Home{Owner: e.From})
+			h.moveLeases(e.Msg.Pool, PoolOwner{Owner: e.From}, PoolOwner{Owner: e.From})
 			h.adopt(e.Msg.Pool, e.From)
 		}
 		return
@@ -148,27 +148,27 @@
 	}
 }
 
-func (e Closed) apply(h *Holder) {
+func (e BackendsClosed) apply(h *Holder) {
 	h.closed = e.Backends
 	for _, name := range sortedKeys(h.models) {
 		h.returnIdle(h.models[name], func(l *held) bool { return h.closed[l.Backend] }, chart.Return)
 	}
 }
 
-func (e Homes) apply(h *Holder) {
+func (e ModelOwners) apply(h *Holder) {
 	for _, name := range sortedKeys(e.Of) {
 		h.moveHome(h.model(name), e.Of[name])
 	}
 	for name, m := range h.models {
 		if _, ok := e.Of[name]; !ok {
-			m.home = Home{}
+			m.home = PoolOwner{}
 		}
 	}
 }
 
 // moveHome turns to another owner: the former one hears that nothing waits
 // for it any more, and the new one is told all that waits.
-func (h *Holder) moveHome(m *model, home Home) {
+func (h *Holder) moveHome(m *model, home PoolOwner) {
 	if m.home == home {
 		return
 	}
@@ -183,7 +183,7 @@
 	h.tellNow(m)
 }
 
-func (e Lenders) apply(h *Holder) {
+func (e PoolOwners) apply(h *Holder) {
 	old := h.lenders
 	h.lenders = e.Of
 	h.zone = e.Zone
@@ -203,7 +203,7 @@
 // moveLeases gives the leases of a pool a new owner. Idle ones end, so that
 // nothing starts on the word of two owners; running ones are reported for
 // the new owner to count.
-func (h *Holder) moveLeases(p wire.Pool, from, to Home) {
+func (h *Holder) moveLeases(p wire.Pool, from, to PoolOwner) {
 	if from.Owner == "" {
 		return
 	}
@@ -239,13 +239,13 @@
 	}
 }
 
-func (e Moved) apply(h *Holder) {
+func (e OwnerMoved) apply(h *Holder) {
 	moved := false
 	for _, l := range h.pool(e.Pool).held {
 		moved = moved || l.owner == e.From
 	}
 	if moved {
-		h.moveLeases(e.Pool, Home{Owner: e.From}, Home{Owner: e.To})
+		h.moveLeases(e.Pool, PoolOwner{Owner: e.From}, PoolOwner{Owner: e.To})
 		h.adopt(e.Pool, e.To)
 	}
 }
--- a/pkg/hold/options.go
+++ b/pkg/hold/options.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// DefaultReportEvery is the interval at which owners hear of held leases. It
+// DefaultReportInterval is the interval at which owners hear of held leases. It
 // is a third of pool.DefaultTTL, so that one lost report expires nothing.
-const DefaultReportEvery = 500 * time.Millisecond
+const DefaultReportInterval = 500 * time.Millisecond
 
 // fullRounds: one regular demand in so many is full, so that an owner that
 // missed a change learns of it.
@@ -23,19 +23,19 @@
 }
 
 func defaults() options {
-	return options{reportEvery: DefaultReportEvery, prefixes: true}
+	return options{reportEvery: DefaultReportInterval, prefixes: true}
 }
 
-// WithPrefixes says whether requests look for the server that holds their
+// WithPrefixAffinity says whether requests look for the server that holds their
 // prompt's prefix.
-func WithPrefixes(on bool) Option {
+func WithPrefixAffinity(on bool) Option {
 	return func(o *options) { o.prefixes = on }
 }
 
 // Option changes a new Holder.
 type Option func(*options)
 
-// WithReportEvery sets the interval of reports to owners.
-func WithReportEvery(d time.Duration) Option {
+// WithReportInterval sets the interval of reports to owners.
+func WithReportInterval(d time.Duration) Option {
 	return func(o *options) { o.reportEvery = d }
 }
--- a/pkg/hold/request.go
+++ b/pkg/hold/request.go
@@ -36,7 +36,7 @@
 	h.tellSoon(m)
 }
 
-func (e Limited) apply(h *Holder) { h.limited = e.Accounts }
+func (e LimitedAccounts) apply(h *Holder) { h.limited = e.Accounts }
 
 func (e Cancel) apply(h *Holder) {
 	r, ok := h.requests[e.ID]
@@ -59,13 +59,13 @@
 	l := r.held
 	l.request = nil
 	l.tokens = e.Tokens
-	if !e.Failed && h.mayReuse(l) && l.move(chart.Reuse) {
+	if !e.Unreachable && h.mayReuse(l) && l.move(chart.Reuse) {
 		h.reuse(l, r, e)
 		return
 	}
 	l.move(chart.Finish)
 	u := h.use(l, r.Account, e.Tokens)
-	u.Failed = e.Failed
+	u.Failed = e.Unreachable
 	h.giveBack(l, u, e.Sent)
 }
 
--- a/pkg/hold/tell.go
+++ b/pkg/hold/tell.go
@@ -188,7 +188,7 @@
 }
 
 // Lost applies: what the peer was told may not have arrived.
-func (e Lost) apply(h *Holder) {
+func (e MessagesLost) apply(h *Holder) {
 	for _, name := range sortedKeys(h.models) {
 		m := h.models[name]
 		if m.home.Owner == e.Peer {
--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -13,14 +13,14 @@
 
 // The defaults; docs/MEMBERSHIP.md gives the detection time they lead to.
 const (
-	// DefaultProbeEvery is the interval between two probes of a router.
-	DefaultProbeEvery = 250 * time.Millisecond
-	// DefaultAckWithin is how long a probe may stay unanswered.
-	DefaultAckWithin = 300 * time.Millisecond
-	// DefaultSuspectFor is how long a suspect may take to refute.
-	DefaultSuspectFor = 700 * time.Millisecond
-	// DefaultForgetAfter is when a dead member is forgotten for good.
-	DefaultForgetAfter = 10 * time.Minute
+	// DefaultProbeInterval is the interval between two probes of a router.
+	DefaultProbeInterval = 250 * time.Millisecond
+	// DefaultAckTimeout is how long a probe may stay unanswered.
+	DefaultAckTimeout = 300 * time.Millisecond
+	// DefaultSuspectTimeout is how long a suspect may take to refute.
+	DefaultSuspectTimeout = 700 * time.Millisecond
+	// DefaultRetention is when a dead member is forgotten for good.
+	DefaultRetention = 10 * time.Minute
 	// rumourSends is how often a change is passed on by each router, and
 	// rumoursEach how many go with one message.
 	rumourSends = 8
@@ -95,9 +95,9 @@
 // Event is what Members takes in one Step.
 type Event interface{ apply(m *Members) }
 
-// List is the platform's list for the zone. It may lag: who is on it may be
+// PlatformList is the platform's list for the zone. It may lag: who is on it may be
 // dead, and who is not may live.
-type List struct{ Peers []Peer }
+type PlatformList struct{ Peers []Peer }
 
 // Tick lets time pass. It is due at least every DefaultProbeEvery.
 type Tick struct{}
@@ -114,12 +114,12 @@
 	Msg  *wire.Ack
 }
 
-// Refused says that the router's address refused a connection, so that no
+// ConnectionRefused says that the router's address refused a connection, so that no
 // process listens there.
-type Refused struct{ Peer string }
+type ConnectionRefused struct{ Peer string }
 
-// Table says which revision is in force here, to be told with probes.
-type Table struct{ Revision uint64 }
+// TableRevision says which revision is in force here, to be told with probes.
+type TableRevision struct{ Revision uint64 }
 
 // Join says that this router is ready to take its part.
 type Join struct{}
@@ -127,9 +127,9 @@
 // Leave says that this router is about to stop.
 type Leave struct{}
 
-// Woke says that this router was paused: its silence and everyone else's
+// Resumed says that this router was paused: its silence and everyone else's
 // prove nothing, so all waiting probes are void.
-type Woke struct{}
+type Resumed struct{}
 
 // Step takes one event at the time now. The returned slice is valid until
 // the next Step.
@@ -177,8 +177,8 @@
 	return names
 }
 
-// Inc returns the incarnation of a member, 0 if it is not known.
-func (m *Members) Inc(name string) uint64 {
+// Incarnation returns the incarnation of a member, 0 if it is not known.
+func (m *Members) Incarnation(name string) uint64 {
 	if name == m.self {
 		return m.inc
 	}
@@ -193,17 +193,17 @@
 	Name        string `json:"name"`
 	State       string `json:"state"`
 	Incarnation uint64 `json:"incarnation"`
-	// HeardMillisAgo is the time since its last message.
-	HeardMillisAgo int64 `json:"heard_ms_ago"`
+	// LastSeenMillisAgo is the time since its last message.
+	LastSeenMillisAgo int64 `json:"heard_ms_ago"`
 }
 
-// All returns every member known, sorted by name.
-func (m *Members) All() []Status {
+// Statuses returns every member known, sorted by name.
+func (m *Members) Statuses() []Status {
 	all := make([]Status, 0, len(m.peers))
 	for _, p := range m.peers {
 		all = append(all, Status{
 			Name: p.name, State: p.state.String(), Incarnation: p.inc,
-			HeardMillisAgo: (m.now - p.heard).Milliseconds(),
+			LastSeenMillisAgo: (m.now - p.heard).Milliseconds(),
 		})
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Name < all[j].Name })
--- a/pkg/member/member_test.go
+++ b/pkg/member/member_test.go
@@ -53,7 +53,7 @@
 	}
 	for i, name := range z.names {
 		z.members[name] = member.New(name, uint64(i)+1, seed)
-		z.send(name, z.members[name].Step(0, member.List{Peers: peers}))
+		z.send(name, z.members[name].Step(0, member.PlatformList{Peers: peers}))
 		z.send(name, z.members[name].Step(0, member.Join{}))
 	}
 	return z
--- a/pkg/member/step.go
+++ b/pkg/member/step.go
@@ -8,7 +8,7 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-func (e List) apply(m *Members) {
+func (e PlatformList) apply(m *Members) {
 	for _, p := range m.peers {
 		p.listed = false
 	}
@@ -23,7 +23,7 @@
 		}
 	}
 	for name, p := range m.peers {
-		if !p.listed && p.state >= wire.Dead && m.now-p.since >= DefaultForgetAfter {
+		if !p.listed && p.state >= wire.Dead && m.now-p.since >= DefaultRetention {
 			delete(m.peers, name)
 			m.order = nil
 		}
@@ -33,7 +33,7 @@
 func (Tick) apply(m *Members) {
 	m.timeOutProbes()
 	m.timeOutSuspects()
-	if m.now-m.lastRun < DefaultProbeEvery {
+	if m.now-m.lastRun < DefaultProbeInterval {
 		return
 	}
 	m.lastRun = m.now
@@ -45,7 +45,7 @@
 func (m *Members) timeOutProbes() {
 	for _, seq := range slices.Sorted(maps.Keys(m.probes)) {
 		pr := m.probes[seq]
-		if m.now-pr.at < DefaultAckWithin {
+		if m.now-pr.at < DefaultAckTimeout {
 			continue
 		}
 		delete(m.probes, seq)
@@ -73,7 +73,7 @@
 
 func (m *Members) timeOutSuspects() {
 	for _, p := range m.peers {
-		if p.state == wire.Suspect && m.now-p.since >= DefaultSuspectFor {
+		if p.state == wire.Suspect && m.now-p.since >= DefaultSuspectTimeout {
 			m.set(p, wire.Dead)
 		}
 	}
@@ -146,14 +146,14 @@
 	}
 }
 
-func (e Refused) apply(m *Members) {
+func (e ConnectionRefused) apply(m *Members) {
 	p, ok := m.peers[e.Peer]
 	if ok && p.state <= wire.Suspect {
 		m.set(p, wire.Dead)
 	}
 }
 
-func (e Table) apply(m *Members) { m.table = e.Revision }
+func (e TableRevision) apply(m *Members) { m.table = e.Revision }
 
 func (Join) apply(m *Members) { m.probeAll() }
 
@@ -172,7 +172,7 @@
 	}
 }
 
-func (Woke) apply(m *Members) {
+func (Resumed) apply(m *Members) {
 	clear(m.probes)
 	for _, p := range m.peers {
 		p.heard = m.now
--- a/pkg/once/ballot.go
+++ b/pkg/once/ballot.go
@@ -2,25 +2,25 @@
 
 import "github.com/yarrowmast/yarrowmast/pkg/wire"
 
-// Ballot collects the answers of a key's homes for the claiming request.
-type Ballot struct {
+// ClaimQuorum collects the answers of a key's homes for the claiming request.
+type ClaimQuorum struct {
 	// Homes is how many homes were asked.
 	Homes   int
 	answers map[string]wire.ClaimState
 }
 
-// NewBallot returns the ballot of a claim that n homes are asked about.
-func NewBallot(n int) *Ballot {
-	return &Ballot{Homes: n, answers: map[string]wire.ClaimState{}}
+// NewClaimQuorum returns the ballot of a claim that n homes are asked about.
+func NewClaimQuorum(n int) *ClaimQuorum {
+	return &ClaimQuorum{Homes: n, answers: map[string]wire.ClaimState{}}
 }
 
 // Add notes one home's answer.
-func (b *Ballot) Add(home string, s wire.ClaimState) { b.answers[home] = s }
+func (b *ClaimQuorum) Add(home string, s wire.ClaimState) { b.answers[home] = s }
 
 // Result returns the outcome, and whether it is final before all homes have
 // answered. One home that saw the key used settles it; so does a majority
 // that vouches for the key's whole past.
-func (b *Ballot) Result() (state wire.ClaimState, final bool) {
+func (b *ClaimQuorum) Result() (state wire.ClaimState, final bool) {
 	counts := map[wire.ClaimState]int{}
 	for _, s := range b.answers {
 		counts[s]++
@@ -29,9 +29,9 @@
 	switch {
 	case counts[wire.ClaimTaken] > 0:
 		return wire.ClaimTaken, true
-	case counts[wire.ClaimGranted] >= Most(b.Homes):
+	case counts[wire.ClaimGranted] >= Majority(b.Homes):
 		return wire.ClaimGranted, true
-	case counts[wire.ClaimGranted]+counts[wire.ClaimUnknown] >= Most(b.Homes):
+	case counts[wire.ClaimGranted]+counts[wire.ClaimUnknown] >= Majority(b.Homes):
 		return wire.ClaimUnknown, all
 	default:
 		return wire.ClaimCutOff, all
--- a/pkg/once/homes.go
+++ b/pkg/once/homes.go
@@ -17,34 +17,34 @@
 
 // The defaults.
 const (
-	// DefaultKeep is how long a used key is remembered. An older repeat is
+	// DefaultRetention is how long a used key is remembered. An older repeat is
 	// answered as one that may have run.
-	DefaultKeep = 10 * time.Minute
-	// DefaultMost bounds the keys that one home remembers.
-	DefaultMost = 200_000
+	DefaultRetention = 10 * time.Minute
+	// DefaultMaxKeys bounds the keys that one home remembers.
+	DefaultMaxKeys = 200_000
 	// DefaultSkew is how far the callers' clocks may be off the homes', and
 	// how long routers may differ on the list of the zone's routers.
 	DefaultSkew = 5 * time.Second
-	// HomesEach is how many homes a key has.
-	HomesEach = 3
+	// HomesPerKey is how many homes a key has.
+	HomesPerKey = 3
 	// viewsKept bounds the history of the zone's routers.
 	viewsKept = 256
 )
 
-// Of returns the homes of a key among the routers of its zone.
-func Of(key string, routers []string) []string {
-	return rendezvous.Owners(key, routers, HomesEach)
+// HomesOf returns the homes of a key among the routers of its zone.
+func HomesOf(key string, routers []string) []string {
+	return rendezvous.Owners(key, routers, HomesPerKey)
 }
 
-// Zone returns the availability zone that is home to a key.
-func Zone(key string, zones []string) string { return rendezvous.Owner(key, zones) }
+// HomeZone returns the availability zone that is home to a key.
+func HomeZone(key string, zones []string) string { return rendezvous.Owner(key, zones) }
 
-// Most returns how many of n homes are needed for a use to count.
-func Most(n int) int { return n/2 + 1 }
+// Majority returns how many of n homes are needed for a use to count.
+func Majority(n int) int { return n/2 + 1 }
 
-// Homes is one router's part as a home of keys. Times are on the router's
+// KeyStore is one router's part as a home of keys. Times are on the router's
 // clock, which starts at the wall time, so that keys' times compare with it.
-type Homes struct {
+type KeyStore struct {
 	self string
 	now  time.Duration
 	keep time.Duration
@@ -69,18 +69,18 @@
 }
 
 // Option changes new Homes.
-type Option func(*Homes)
+type Option func(*KeyStore)
 
-// WithMost bounds the keys remembered.
-func WithMost(n int) Option { return func(h *Homes) { h.most = n } }
+// WithMaxKeys bounds the keys remembered.
+func WithMaxKeys(n int) Option { return func(h *KeyStore) { h.most = n } }
 
-// WithKeep sets how long a key is remembered.
-func WithKeep(d time.Duration) Option { return func(h *Homes) { h.keep = d } }
+// WithRetention sets how long a key is remembered.
+func WithRetention(d time.Duration) Option { return func(h *KeyStore) { h.keep = d } }
 
 // New returns the homes of a router that has just started.
-func New(self string, now time.Duration, opts ...Option) *Homes {
-	h := &Homes{
-		self: self, now: now, keep: DefaultKeep, most: DefaultMost,
+func New(self string, now time.Duration, opts ...Option) *KeyStore {
+	h := &KeyStore{
+		self: self, now: now, keep: DefaultRetention, most: DefaultMaxKeys,
 		keys: map[string]*entry{}, order: list.New(),
 	}
 	for _, f := range opts {
@@ -91,13 +91,13 @@
 }
 
 // Keys returns how many keys are remembered.
-func (h *Homes) Keys() int { return h.order.Len() }
+func (h *KeyStore) Keys() int { return h.order.Len() }
 
-func (h *Homes) routers() []string { return h.views[len(h.views)-1].routers }
+func (h *KeyStore) routers() []string { return h.views[len(h.views)-1].routers }
 
 // SetRouters replaces the routers of the zone by the platform's list, which
 // says nothing of who lives: a home that is away keeps its place.
-func (h *Homes) SetRouters(now time.Duration, names []string) {
+func (h *KeyStore) SetRouters(now time.Duration, names []string) {
 	h.now = max(h.now, now)
 	if slices.Equal(h.routers(), names) {
 		return
@@ -108,19 +108,19 @@
 	}
 }
 
-// Woke says that this router was paused: others may have changed the list
+// RecordPause says that this router was paused: others may have changed the list
 // meanwhile, so it no longer vouches for what it did not record.
-func (h *Homes) Woke(now time.Duration) {
+func (h *KeyStore) RecordPause(now time.Duration) {
 	h.now = max(h.now, now)
 	h.views = []view{{at: h.now, routers: h.routers()}}
 }
 
 // knowsSince returns since when this router has been a home of the key
 // without a break.
-func (h *Homes) knowsSince(key string) time.Duration {
+func (h *KeyStore) knowsSince(key string) time.Duration {
 	since := h.now
 	for i := len(h.views) - 1; i >= 0; i-- {
-		if !slices.Contains(Of(key, h.views[i].routers), h.self) {
+		if !slices.Contains(HomesOf(key, h.views[i].routers), h.self) {
 			break
 		}
 		since = h.views[i].at
@@ -130,7 +130,7 @@
 
 // covers reports whether this home would remember any earlier use of a key
 // that was first used at the wall time at, in milliseconds; 0 is unknown.
-func (h *Homes) covers(key string, at int64) bool {
+func (h *KeyStore) covers(key string, at int64) bool {
 	since := h.knowsSince(key)
 	first := time.Duration(at) * time.Millisecond
 	if at == 0 {
@@ -140,17 +140,17 @@
 }
 
 // Claim records a use and answers what this home knows of the key.
-func (h *Homes) Claim(now time.Duration, c *wire.Claim) *wire.ClaimAnswer {
+func (h *KeyStore) Claim(now time.Duration, c *wire.Claim) *wire.ClaimAnswer {
 	h.now = max(h.now, now)
 	state := wire.ClaimElsewhere
-	if slices.Contains(Of(c.Key, h.routers()), h.self) {
+	if slices.Contains(HomesOf(c.Key, h.routers()), h.self) {
 		state = h.record(c)
 	}
 	return &wire.ClaimAnswer{Seq: c.Seq, State: state}
 }
 
 // record notes the use of a key. A request may record its own key again.
-func (h *Homes) record(c *wire.Claim) wire.ClaimState {
+func (h *KeyStore) record(c *wire.Claim) wire.ClaimState {
 	if e, used := h.keys[c.Key]; used {
 		if e.request != c.Request {
 			return wire.ClaimTaken
@@ -166,27 +166,27 @@
 	return h.vouch(c)
 }
 
-func (h *Homes) vouch(c *wire.Claim) wire.ClaimState {
+func (h *KeyStore) vouch(c *wire.Claim) wire.ClaimState {
 	if h.covers(c.Key, c.At) {
 		return wire.ClaimGranted
 	}
 	return wire.ClaimUnknown
 }
 
-// Void takes back the use of a key by a request that did not run.
-func (h *Homes) Void(v *wire.ClaimVoid) {
+// Release takes back the use of a key by a request that did not run.
+func (h *KeyStore) Release(v *wire.ClaimVoid) {
 	if e, used := h.keys[v.Key]; used && e.request == v.Request {
 		h.drop(e)
 	}
 }
 
-func (h *Homes) drop(e *entry) {
+func (h *KeyStore) drop(e *entry) {
 	h.order.Remove(e.place)
 	delete(h.keys, e.key)
 }
 
 // Tick forgets the keys whose time is over.
-func (h *Homes) Tick(now time.Duration) {
+func (h *KeyStore) Tick(now time.Duration) {
 	h.now = max(h.now, now)
 	for at := h.order.Front(); at != nil; at = h.order.Front() {
 		e := at.Value.(*entry)
--- a/pkg/once/homes_test.go
+++ b/pkg/once/homes_test.go
@@ -11,7 +11,7 @@
 func TestHomesRememberWithinBounds(t *testing.T) {
 	const start = 1_700_000_000 * time.Second
 	now := start + time.Minute
-	h := once.New("a", start, once.WithMost(2), once.WithKeep(10*time.Second))
+	h := once.New("a", start, once.WithMaxKeys(2), once.WithRetention(10*time.Second))
 	h.SetRouters(start, []string{"a", "b", "c"})
 	claim := func(key, request string) wire.ClaimState {
 		return h.Claim(now, &wire.Claim{Key: key, Request: request, At: now.Milliseconds()}).State
@@ -35,7 +35,7 @@
 			t.Errorf("step %d: state %d, want %d", i, got, s.want)
 		}
 	}
-	h.Woke(now)
+	h.RecordPause(now)
 	if got := claim("k4", "r4"); got != wire.ClaimUnknown {
 		t.Errorf("after a pause: state %d", got)
 	}
@@ -56,7 +56,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := once.NewBallot(once.HomesEach)
+			b := once.NewClaimQuorum(once.HomesPerKey)
 			for i, s := range tc.answers {
 				b.Add(string(rune('a'+i)), s)
 			}
--- a/pkg/pool/charge.go
+++ b/pkg/pool/charge.go
@@ -56,7 +56,7 @@
 	a.changed = true
 	a.limit.spend(tokens, 0)
 	factor := 1.0
-	if o.opt.estimator == CountedByZones {
+	if o.opt.estimator == ScaledByZones {
 		factor += float64(a.zones)
 	}
 	o.queue.Charge(name, tokens*factor)
--- a/pkg/pool/event.go
+++ b/pkg/pool/event.go
@@ -23,7 +23,7 @@
 // Holders replaces the live routers of the zone. Expected are all that may
 // live, among them those that have not been heard of yet.
 type Holders struct {
-	Names    []string
+	Live     []string
 	Expected []string
 }
 
@@ -55,8 +55,8 @@
 	Msg  *wire.Report
 }
 
-// Lent is a grant from the owner of another pool of the model.
-type Lent struct {
+// Borrowed is a grant from the owner of another pool of the model.
+type Borrowed struct {
 	From string
 	Msg  *wire.Grant
 }
@@ -107,8 +107,8 @@
 
 func (e Holders) apply(o *Owner) {
 	o.expected = e.Expected
-	live := make(map[string]bool, len(e.Names))
-	for _, n := range e.Names {
+	live := make(map[string]bool, len(e.Live))
+	for _, n := range e.Live {
 		live[n] = true
 		h := o.holder(n)
 		if !h.member {
@@ -142,7 +142,7 @@
 		if l.holder != name {
 			continue
 		}
-		if l.server.Reports {
+		if l.server.ReportsLoad {
 			o.abandon(l)
 		}
 		l.standing = false
@@ -291,7 +291,7 @@
 	}
 }
 
-func (e Lent) apply(o *Owner) { o.relay(e.From, e.Msg) }
+func (e Borrowed) apply(o *Owner) { o.relay(e.From, e.Msg) }
 
 // measure notes the rate at which a running request is served.
 func (o *Owner) measure(l *lease, tokens int64) {
--- a/pkg/pool/learn.go
+++ b/pkg/pool/learn.go
@@ -28,7 +28,7 @@
 	if known {
 		a.limit.spend(v.Tokens-r.tokens, 0)
 		guessed := 0.0
-		if r.serving && o.opt.estimator == CountedByZones {
+		if r.serving && o.opt.estimator == ScaledByZones {
 			guessed = a.own - r.ownAt
 		}
 		o.queue.Charge(v.Account, v.Tokens-r.tokens-guessed)
--- a/pkg/pool/lease.go
+++ b/pkg/pool/lease.go
@@ -51,7 +51,7 @@
 func (o *Owner) reclaimSilent() {
 	for _, l := range o.leases {
 		silence := o.opt.reclaim
-		if l.server.Reports {
+		if l.server.ReportsLoad {
 			silence = o.opt.reclaimReported
 		}
 		if o.now-l.heard >= silence && o.now >= l.until {
@@ -116,11 +116,11 @@
 	return o.now-l.heard >= staleHolder && o.now >= l.until
 }
 
-// Doubtful reports whether a lease on a server that reports its load is
+// HasStaleLeases reports whether a lease on a server that reports its load is
 // silent, so that a reading of the load would tell more.
-func (o *Owner) Doubtful() bool {
+func (o *Owner) HasStaleLeases() bool {
 	for _, l := range o.leases {
-		if l.server.Reports && !l.standing && o.silent(l) {
+		if l.server.ReportsLoad && !l.standing && o.silent(l) {
 			return true
 		}
 	}
--- a/pkg/pool/limit_test.go
+++ b/pkg/pool/limit_test.go
@@ -22,8 +22,8 @@
 func newZonePair(l pool.Limit) *zonePair {
 	z := &zonePair{pools: [2]wire.Pool{wire.NewPool("m", "a", 0), wire.NewPool("m", "b", 0)}}
 	for i := range z.owners {
-		o := pool.New("o", z.pools[i], 0, pool.WithQuiet(0))
-		o.Step(0, pool.Servers{List: []pool.Server{{Name: "s", Slots: 8, Open: true}}})
+		o := pool.New("o", z.pools[i], 0, pool.WithTakeoverDelay(0))
+		o.Step(0, pool.Servers{List: []pool.Server{{Name: "s", Slots: 8, AcceptsRequests: true}}})
 		o.Step(0, pool.Siblings{Nodes: map[wire.Pool]string{z.pools[1-i]: "o"}})
 		o.Step(0, pool.Limits{Of: map[string]pool.Limit{"x": l}})
 		z.owners[i] = o
--- a/pkg/pool/options.go
+++ b/pkg/pool/options.go
@@ -8,40 +8,40 @@
 
 // The estimators weighed in docs/FAIRNESS.md.
 const (
-	// AsLastShared takes the last share as it stands.
-	AsLastShared Estimator = "as-last-shared"
-	// CountedByZones counts own service once for each zone that serves the
+	// LastShare takes the last share as it stands.
+	LastShare Estimator = "as-last-shared"
+	// ScaledByZones counts own service once for each zone that serves the
 	// account, until the next share puts it right.
-	CountedByZones Estimator = "counted-by-zones"
+	ScaledByZones Estimator = "counted-by-zones"
 )
 
 // The defaults; docs/CAPACITY.md weighs them at the target size.
 const (
 	// DefaultTTL is how long a holder may start work on a lease unrenewed.
 	DefaultTTL = 1500 * time.Millisecond
-	// DefaultReclaim is after what silence an owner takes a lease back. It
+	// DefaultReclaimTimeout is after what silence an owner takes a lease back. It
 	// exceeds the TTL and the longest trip of a renewal.
-	DefaultReclaim = 4 * time.Second
-	// DefaultReclaimReported is the same where the backend server reports its
+	DefaultReclaimTimeout = 4 * time.Second
+	// DefaultShortReclaimTimeout is the same where the backend server reports its
 	// load, which tells whether the request still runs. It exceeds the TTL.
-	DefaultReclaimReported = 2 * time.Second
-	// DefaultShareEvery is the interval between shares of one pool.
-	DefaultShareEvery = 250 * time.Millisecond
-	// DefaultShareSoonest is the least time between two urgent shares.
-	DefaultShareSoonest = 20 * time.Millisecond
-	// DefaultSiblingSilence is when another owner's demand is dropped.
-	DefaultSiblingSilence = 2 * time.Second
-	// DefaultFirstEstimate is a request's cost in tokens before any is known.
-	DefaultFirstEstimate = 100
-	// DefaultFirstRate is what a slot serves, in tokens a second, before any
+	DefaultShortReclaimTimeout = 2 * time.Second
+	// DefaultShareInterval is the interval between shares of one pool.
+	DefaultShareInterval = 250 * time.Millisecond
+	// DefaultMinShareInterval is the least time between two urgent shares.
+	DefaultMinShareInterval = 20 * time.Millisecond
+	// DefaultSiblingTimeout is when another owner's demand is dropped.
+	DefaultSiblingTimeout = 2 * time.Second
+	// DefaultInitialEstimate is a request's cost in tokens before any is known.
+	DefaultInitialEstimate = 100
+	// DefaultInitialRate is what a slot serves, in tokens a second, before any
 	// report tells.
-	DefaultFirstRate = 100
-	// DefaultLookAhead is for how long ahead a grant charges: a report and a
+	DefaultInitialRate = 100
+	// DefaultChargeHorizon is for how long ahead a grant charges: a report and a
 	// share later the owners know better.
-	DefaultLookAhead = 500 * time.Millisecond
-	// DefaultAgree is the part of a difference in virtual time between two
+	DefaultChargeHorizon = 500 * time.Millisecond
+	// DefaultConvergence is the part of a difference in virtual time between two
 	// owners that one share takes away.
-	DefaultAgree = 0.25
+	DefaultConvergence = 0.25
 )
 
 type options struct {
@@ -67,45 +67,45 @@
 func defaults() options {
 	return options{
 		ttl:             DefaultTTL,
-		reclaim:         DefaultReclaim,
-		reclaimReported: DefaultReclaimReported,
-		shareEvery:      DefaultShareEvery,
-		shareSoonest:    DefaultShareSoonest,
-		siblingSilence:  DefaultSiblingSilence,
+		reclaim:         DefaultReclaimTimeout,
+		reclaimReported: DefaultShortReclaimTimeout,
+		shareEvery:      DefaultShareInterval,
+		shareSoonest:    DefaultMinShareInterval,
+		siblingSilence:  DefaultSiblingTimeout,
 		calm:            500 * time.Millisecond,
 		recent:          30 * time.Second,
 		idleGrace:       250 * time.Millisecond,
-		firstEstimate:   DefaultFirstEstimate,
-		estimator:       CountedByZones,
+		firstEstimate:   DefaultInitialEstimate,
+		estimator:       ScaledByZones,
 		quiet:           DefaultTTL,
-		agree:           DefaultAgree,
+		agree:           DefaultConvergence,
 		runOn:           true,
-		firstRate:       DefaultFirstRate,
-		lookAhead:       DefaultLookAhead,
+		firstRate:       DefaultInitialRate,
+		lookAhead:       DefaultChargeHorizon,
 	}
 }
 
 // Option changes a new Owner.
 type Option func(*options)
 
-// WithQuiet sets how long a new owner grants nothing.
-func WithQuiet(d time.Duration) Option {
+// WithTakeoverDelay sets how long a new owner grants nothing.
+func WithTakeoverDelay(d time.Duration) Option {
 	return func(o *options) { o.quiet = d }
 }
 
-// WithAgree sets how much of the difference between two owners' virtual times
+// WithConvergence sets how much of the difference between two owners' virtual times
 // each share takes away, from 0 to 1.
-func WithAgree(part float64) Option {
+func WithConvergence(part float64) Option {
 	return func(o *options) { o.agree = part }
 }
 
-// WithLookAhead sets for how long ahead a grant charges what a slot serves.
-func WithLookAhead(d time.Duration) Option {
+// WithChargeHorizon sets for how long ahead a grant charges what a slot serves.
+func WithChargeHorizon(d time.Duration) Option {
 	return func(o *options) { o.lookAhead = d }
 }
 
-// WithRunOn says whether running requests are charged between their reports.
-func WithRunOn(on bool) Option {
+// WithExtrapolation says whether running requests are charged between their reports.
+func WithExtrapolation(on bool) Option {
 	return func(o *options) { o.runOn = on }
 }
 
@@ -114,7 +114,7 @@
 	return func(o *options) { o.estimator = e }
 }
 
-// WithShareEvery sets the interval between shares.
-func WithShareEvery(d time.Duration) Option {
+// WithShareInterval sets the interval between shares.
+func WithShareInterval(d time.Duration) Option {
 	return func(o *options) { o.shareEvery = d }
 }
--- a/pkg/pool/owner.go
+++ b/pkg/pool/owner.go
@@ -24,10 +24,10 @@
 	Name string
 	// Slots is how many requests may run at once; above zero.
 	Slots int
-	// Open says that new work may go there.
-	Open bool
-	// Reports says that it reports its load.
-	Reports bool
+	// AcceptsRequests says that new work may go there.
+	AcceptsRequests bool
+	// ReportsLoad says that it reports its load.
+	ReportsLoad bool
 }
 
 // Owner is the state of a pool's owner.
@@ -90,7 +90,7 @@
 }
 
 func (s *server) free() int {
-	if !s.Open || s.down {
+	if !s.AcceptsRequests || s.down {
 		return 0
 	}
 	return max(0, s.Slots-s.used-s.foreign)
@@ -249,7 +249,7 @@
 func (o *Owner) slots() int {
 	n := 0
 	for _, s := range o.servers {
-		if s.Open {
+		if s.AcceptsRequests {
 			n += s.Slots
 		}
 	}
--- a/pkg/pool/share.go
+++ b/pkg/pool/share.go
@@ -121,7 +121,7 @@
 // guessed returns the tokens that charge added for other zones since their
 // last shares.
 func (o *Owner) guessed(a *account) float64 {
-	if o.opt.estimator != CountedByZones || a.zones == 0 {
+	if o.opt.estimator != ScaledByZones || a.zones == 0 {
 		return 0
 	}
 	sum := 0.0
--- a/pkg/pool/status.go
+++ b/pkg/pool/status.go
@@ -19,8 +19,8 @@
 // AccountStatus is an account as a pool's owner sees it.
 type AccountStatus struct {
 	Account string `json:"account"`
-	// Virtual is its weighted service with all lifts, in tokens per weight.
-	Virtual float64 `json:"virtual"`
+	// VirtualTime is its weighted service with all lifts, in tokens per weight.
+	VirtualTime float64 `json:"virtual"`
 	// Charged is the service that this owner charged, in tokens.
 	Charged float64 `json:"charged"`
 	// Waiting counts requests that the owner could grant to now.
@@ -39,7 +39,7 @@
 			n += c.count()
 		}
 		all = append(all, AccountStatus{
-			Account: name, Virtual: o.queue.Get(name).VirtualTime, Charged: a.own, Waiting: n, Estimate: o.estimate(a),
+			Account: name, VirtualTime: o.queue.Get(name).VirtualTime, Charged: a.own, Waiting: n, Estimate: o.estimate(a),
 		})
 	}
 	return all
--- a/pkg/tablesync/tablesync.go
+++ b/pkg/tablesync/tablesync.go
@@ -16,10 +16,10 @@
 
 // The defaults.
 const (
-	// DefaultAskFor is how long a router that starts waits for its peers.
-	DefaultAskFor = 500 * time.Millisecond
-	// DefaultAskEvery is the least time between two asks of one version.
-	DefaultAskEvery = 300 * time.Millisecond
+	// DefaultStartupTimeout is how long a router that starts waits for its peers.
+	DefaultStartupTimeout = 500 * time.Millisecond
+	// DefaultRequestInterval is the least time between two asks of one version.
+	DefaultRequestInterval = 300 * time.Millisecond
 	// DefaultReaders is how many routers of a zone watch the platform.
 	DefaultReaders = 2
 	// deltasKept bounds the deltas kept for peers that are a little behind.
@@ -34,14 +34,14 @@
 // Start says which peers can be asked, at the router's start.
 type Start struct{ Peers []string }
 
-// Live replaces the live routers of the zone.
-type Live struct{ Names []string }
+// LiveRouters replaces the live routers of the zone.
+type LiveRouters struct{ Names []string }
 
 // Tick lets time pass.
 type Tick struct{}
 
-// Platform is a value that this router read from the platform.
-type Platform struct {
+// PlatformValue is a value that this router read from the platform.
+type PlatformValue struct {
 	Revision uint64
 	// Table is nil if the value was refused; Err then says why.
 	Table *table.Table
@@ -54,8 +54,8 @@
 	Revision uint64
 }
 
-// Asked is a peer's TableAsk.
-type Asked struct {
+// TableRequested is a peer's TableAsk.
+type TableRequested struct {
 	From string
 	Msg  *wire.TableAsk
 }
@@ -64,8 +64,8 @@
 // will not answer.
 type Unreachable struct{ Peer string }
 
-// Whole is a peer's TableWhole.
-type Whole struct {
+// FullTable is a peer's TableWhole.
+type FullTable struct {
 	From string
 	Msg  *wire.TableWhole
 }
@@ -85,18 +85,18 @@
 	Msg any
 }
 
-// InForce puts a table in force.
-type InForce struct{ Table *table.Table }
+// Activate puts a table in force.
+type Activate struct{ Table *table.Table }
 
-// Refused reports an edit that stays out of force.
-type Refused struct {
+// Rejected reports an edit that stays out of force.
+type Rejected struct {
 	Revision uint64
 	Err      error
 }
 
-func (Send) action()    {}
-func (InForce) action() {}
-func (Refused) action() {}
+func (Send) action()     {}
+func (Activate) action() {}
+func (Rejected) action() {}
 
 // Sync is the state of one router.
 type Sync struct {
@@ -115,7 +115,7 @@
 	deltas   []table.Delta
 	askedAt  time.Duration
 	askedRev uint64
-	refused  *Refused
+	refused  *Rejected
 	out      []Action
 }
 
@@ -141,13 +141,13 @@
 	return s.cur.Revision
 }
 
-// LastRefused returns the newest refused edit, nil if none.
-func (s *Sync) LastRefused() *Refused { return s.refused }
+// LastRejected returns the newest refused edit, nil if none.
+func (s *Sync) LastRejected() *Rejected { return s.refused }
 
 // Reader reports whether this router watches the platform: it is one of the
 // zone's readers, or it has no table and nobody gave it one.
 func (s *Sync) Reader() bool {
-	if s.state == chart.Asking && s.best == nil && s.now-s.started >= DefaultAskFor/2 {
+	if s.state == chart.Asking && s.best == nil && s.now-s.started >= DefaultStartupTimeout/2 {
 		return true
 	}
 	return s.chosen
@@ -179,7 +179,7 @@
 	s.settle()
 }
 
-func (e Live) apply(s *Sync) {
+func (e LiveRouters) apply(s *Sync) {
 	s.live = e.Names
 	s.chosen = slices.Contains(rendezvous.Owners(readerKey, s.live, DefaultReaders), s.self)
 }
@@ -191,7 +191,7 @@
 	if s.state != chart.Asking || s.best == nil {
 		return
 	}
-	if len(s.unanswered) > 0 && s.now-s.started < DefaultAskFor {
+	if len(s.unanswered) > 0 && s.now-s.started < DefaultStartupTimeout {
 		return
 	}
 	if s.move(chart.Settle) {
@@ -203,7 +203,7 @@
 func (s *Sync) enforce(t *table.Table) {
 	old := s.cur
 	s.cur = t
-	s.act(InForce{Table: t})
+	s.act(Activate{Table: t})
 	if old == nil {
 		return
 	}
@@ -233,10 +233,10 @@
 	return true
 }
 
-func (e Platform) apply(s *Sync) {
+func (e PlatformValue) apply(s *Sync) {
 	if e.Table == nil {
 		if e.Revision > s.Revision() && s.move(chart.Bad) {
-			s.refused = &Refused{Revision: e.Revision, Err: e.Err}
+			s.refused = &Rejected{Revision: e.Revision, Err: e.Err}
 			s.act(*s.refused)
 		}
 		return
@@ -265,7 +265,7 @@
 	if e.Revision <= s.Revision() || s.state == chart.Asking && s.unanswered[e.From] {
 		return
 	}
-	if e.Revision <= s.askedRev && s.now-s.askedAt < DefaultAskEvery {
+	if e.Revision <= s.askedRev && s.now-s.askedAt < DefaultRequestInterval {
 		return
 	}
 	s.askedRev = e.Revision
@@ -273,7 +273,7 @@
 	s.act(Send{To: e.From, Msg: &wire.TableAsk{Have: s.Revision()}})
 }
 
-func (e Asked) apply(s *Sync) {
+func (e TableRequested) apply(s *Sync) {
 	if s.cur == nil {
 		s.act(Send{To: e.From, Msg: &wire.TableWhole{}})
 		return
@@ -294,7 +294,7 @@
 	}})
 }
 
-func (e Whole) apply(s *Sync) {
+func (e FullTable) apply(s *Sync) {
 	delete(s.unanswered, e.From)
 	if e.Msg.Revision == 0 {
 		s.settle()
