--- a/internal/dispatch/fleet_flood_test.go
+++ b/internal/dispatch/fleet_flood_test.go
@@ -53,7 +53,7 @@
 // router at a time or all routers.
 type clientAccount struct {
 	name string
-	key  wire.Key
+	key  wire.NameHash
 	// rate is the usual number of requests per second, overloadFactor multiplies it from
 	// from to until.
 	rate, overloadFactor float64
@@ -124,7 +124,7 @@
 			startedBySecond: make([]float64, modelDuration/time.Second), refusedBySecond: make([]int, modelDuration/time.Second),
 			retriesByStep: make([]int, modelDuration/loadStep),
 		}
-		a.key = wire.KeyOf(a.name)
+		a.key = wire.HashName(a.name)
 		if f.rng.Float64() < singleRouterFraction && i > 0 {
 			a.routers = slices.Clone(zones[f.rng.IntN(zoneCount)])
 			f.rng.Shuffle(len(a.routers), func(i, j int) { a.routers[i], a.routers[j] = a.routers[j], a.routers[i] })
@@ -313,14 +313,14 @@
 
 // handleState passes the fleet's flows to the router, without those that it counts itself.
 func (r *fleetRouter) handleState(f *overloadModel) {
-	own := map[wire.Key]float64{}
+	own := map[wire.NameHash]float64{}
 	for _, x := range r.s.core.Snapshot(r.s.now).Flows(wire.ScopeOwn, "") {
-		own[x.Account] = float64(x.Asked)
+		own[x.Account] = float64(x.Demand)
 	}
-	m := &wire.State{Scope: wire.ScopeRest}
+	m := &wire.RouterState{Scope: wire.ScopeRest}
 	for _, a := range f.accounts {
 		m.Accounts = append(m.Accounts, wire.AccountFlow{
-			Account: a.key, Asked: uint32(max(0, a.demand.value-own[a.key])), Begun: uint32(a.started.value),
+			Account: a.key, Demand: uint32(max(0, a.demand.value-own[a.key])), Started: uint32(a.started.value),
 		})
 	}
 	r.s.step(admit.PeerState{From: "relay", Zone: "z", Msg: m})
--- a/internal/dispatch/news_test.go
+++ b/internal/dispatch/news_test.go
@@ -20,11 +20,11 @@
 		update.AsOf = asOf
 		updateEvent{Update: update}.apply(s)
 	}
-	request := func(after uint64) *wire.News {
+	request := func(after uint64) *wire.PlatformUpdate {
 		n.sent = nil
-		messageEvent{peer.Inbound{From: "10.0.1.2:7", Name: "b", Zone: "x", Inc: 1, Msg: &wire.NewsAsk{After: after}}}.apply(s)
+		messageEvent{peer.Inbound{From: "10.0.1.2:7", Name: "b", Zone: "x", Incarnation: 1, Msg: &wire.PlatformUpdateRequest{After: after}}}.apply(s)
 		for _, msg := range n.sent {
-			if m, ok := msg.(*wire.News); ok {
+			if m, ok := msg.(*wire.PlatformUpdate); ok {
 				return m
 			}
 		}
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -38,9 +38,9 @@
 type messageEvent struct{ peer.Inbound }
 
 func (e messageEvent) apply(s *state) {
-	member := roster.Member{Address: e.From, Name: e.Name, Zone: e.Zone, Inc: e.Inc}
+	member := roster.Member{Address: e.From, Name: e.Name, Zone: e.Zone, Inc: e.Incarnation}
 	if s.roster.Observe(s.now, member) {
-		s.d.opt.log.Info("member_heard", "peer", e.Name, "address", e.From, "zone", e.Zone, "incarnation", e.Inc)
+		s.d.opt.log.Info("member_heard", "peer", e.Name, "address", e.From, "zone", e.Zone, "incarnation", e.Incarnation)
 		if _, isRoster := e.Msg.(*wire.Roster); !isRoster {
 			s.sendFullRoster(e.From, true)
 		}
@@ -54,19 +54,19 @@
 		s.scheduleMembersUpdate()
 	}
 	switch m := e.Msg.(type) {
-	case *wire.State:
+	case *wire.RouterState:
 		s.handleState(e.Inbound, m)
-	case *wire.Ask, *wire.Reply, *wire.Note, *wire.Sync, *wire.Leaving, *wire.Suspects:
+	case *wire.SlotRequest, *wire.SlotReply, *wire.RequestUpdate, *wire.RequestSync, *wire.Leaving, *wire.SuspectUpdate:
 		s.step(admit.Message{From: e.From, Msg: m})
-	case *wire.Uses:
+	case *wire.Usage:
 		s.handleUsage(e.Inbound, m)
-	case *wire.Claim, *wire.ClaimVoid, *wire.ClaimAnswer:
+	case *wire.Claim, *wire.ClaimRelease, *wire.ClaimReply:
 		s.handleClaimMessage(e.From, m)
 	case *wire.Roster:
 		s.mergeRoster(e.From, m)
-	case *wire.NewsAsk:
+	case *wire.PlatformUpdateRequest:
 		s.d.net.Send(e.From, s.updateSince(m))
-	case *wire.News:
+	case *wire.PlatformUpdate:
 		indexTables(&m.Update)
 		updateEvent{Update: m.Checked(), senderName: e.Name, senderAddress: e.From}.apply(s)
 	}
@@ -92,16 +92,16 @@
 }
 
 // handleState processes a report of another router.
-func (s *state) handleState(from peer.Inbound, m *wire.State) {
+func (s *state) handleState(from peer.Inbound, m *wire.RouterState) {
 	l := s.link(from.From)
-	if l.incarnation < from.Inc {
-		*l = link{incarnation: from.Inc}
+	if l.incarnation < from.Incarnation {
+		*l = link{incarnation: from.Incarnation}
 	}
 	l.stamp, l.stampReceivedAt = m.Stamp, s.now
 	if m.Leaving {
 		s.roster.MarkLeaving(from.From)
 	}
-	if m.Roster != 0 && !s.roster.ConfirmReport(s.now, from.From, m.Roster) {
+	if m.RosterDigest != 0 && !s.roster.ConfirmReport(s.now, from.From, m.RosterDigest) {
 		s.requestRoster(from.From)
 	}
 	if s.acceptsScope(from, m.Scope) {
@@ -112,7 +112,7 @@
 		s.requestUpdate(from.From)
 		return
 	}
-	if peerAsOf == asOf && m.Age >= 0 && m.Echo > 0 {
+	if peerAsOf == asOf && m.VerifiedAgeMillis >= 0 && m.Echo > 0 {
 		s.handleVerified(from, m)
 	}
 }
@@ -137,7 +137,7 @@
 
 // cachedUpdate is a full update built for an earlier request.
 type cachedUpdate struct {
-	msg  *wire.News
+	msg  *wire.PlatformUpdate
 	asOf catalog.Revision
 	at   time.Duration
 }
@@ -145,13 +145,13 @@
 // updateSince returns what was published after a revision. Full updates are cached, since many
 // routers request one when the fleet starts and queued copies would need much memory. The
 // message must not be modified.
-func (s *state) updateSince(request *wire.NewsAsk) *wire.News {
+func (s *state) updateSince(request *wire.PlatformUpdateRequest) *wire.PlatformUpdate {
 	asOf := s.catalog.AsOf()
 	if request.Epoch == asOf.Epoch && s.catalog.HasHistorySince(request.After) {
-		return &wire.News{Update: s.catalog.Since(request.After)}
+		return &wire.PlatformUpdate{Update: s.catalog.Since(request.After)}
 	}
 	if s.fullUpdate.msg == nil || s.fullUpdate.asOf != asOf || s.now-s.fullUpdate.at >= fullUpdateTTL {
-		s.fullUpdate = cachedUpdate{msg: &wire.News{Update: s.catalog.Since(0)}, asOf: asOf, at: s.now}
+		s.fullUpdate = cachedUpdate{msg: &wire.PlatformUpdate{Update: s.catalog.Since(0)}, asOf: asOf, at: s.now}
 	}
 	return s.fullUpdate.msg
 }
@@ -167,7 +167,7 @@
 		return
 	}
 	s.updateRequestedAt = s.now
-	s.d.net.Send(from, &wire.NewsAsk{Epoch: after.Epoch, After: after.Number})
+	s.d.net.Send(from, &wire.PlatformUpdateRequest{Epoch: after.Epoch, After: after.Number})
 }
 
 // broadcastUpdate sends what was published after a revision. A router sends what it read itself
@@ -186,7 +186,7 @@
 	if update.Empty() {
 		return
 	}
-	s.broadcast(&wire.News{Update: update}, sender)
+	s.broadcast(&wire.PlatformUpdate{Update: update}, sender)
 }
 
 // broadcast sends a message to all peers except one, "" for none. The message must not be
@@ -202,7 +202,7 @@
 }
 
 // lossEvent reports that messages to a router could not be delivered.
-type lossEvent struct{ peer.Lost }
+type lossEvent struct{ peer.Loss }
 
 func (e lossEvent) apply(s *state) {
 	s.link(e.Peer).rosterDigest = 0
@@ -250,14 +250,14 @@
 }
 
 // sendReport sends one router its report.
-func (s *state) sendReport(to string, t *admit.Snapshot, scope wire.Scope, copies []wire.Copy) {
+func (s *state) sendReport(to string, t *admit.Snapshot, scope wire.Scope, copies []wire.PrefixCopy) {
 	m := s.stateMessage(to)
 	m.Scope, m.Copies = scope, copies
 	if !s.d.opt.weighted {
 		m.Accounts = t.Flows(scope, to)
 	}
 	if s.peerPlan.Relay {
-		m.Roster = s.rosterDigest
+		m.RosterDigest = s.rosterDigest
 		s.sendRosterChanges(to, s.link(to))
 	}
 	s.d.net.Send(to, m)
--- a/internal/dispatch/rosters.go
+++ b/internal/dispatch/rosters.go
@@ -39,7 +39,7 @@
 func (s *state) sendFullRoster(to string, answer bool) {
 	l := s.link(to)
 	l.rosterDigest, l.rosterVersion = s.rosterDigest, s.rosterVersion
-	s.sendRosterEntries(to, &wire.Roster{Answer: answer, Digest: s.rosterDigest}, func(string) bool { return true })
+	s.sendRosterEntries(to, &wire.Roster{WantReply: answer, Digest: s.rosterDigest}, func(string) bool { return true })
 }
 
 // sendRosterChanges sends another router what changed in the roster since it was last sent.
@@ -74,7 +74,7 @@
 		s.sendFullRoster(to, true)
 		return
 	}
-	s.d.net.Send(to, &wire.Roster{Answer: true})
+	s.d.net.Send(to, &wire.Roster{WantReply: true})
 }
 
 // requestRoster asks a relay for its full roster after changes of it were lost.
@@ -85,13 +85,13 @@
 	}
 	l.rosterRequestedAt = s.now
 	s.d.opt.log.Debug("roster_asked", "peer", to)
-	s.d.net.Send(to, &wire.Roster{Answer: true})
+	s.d.net.Send(to, &wire.Roster{WantReply: true})
 }
 
 func rosterEntry(k roster.MemberInfo) wire.RosterEntry {
 	return wire.RosterEntry{
-		Address: k.Address, Name: k.Name, Zone: k.Zone, Inc: k.Inc, Capacity: float32(k.Capacity),
-		Heard: k.LastSeenAgo.Milliseconds(), Lives: k.Alive, Hears: k.Direct, Leaving: k.Leaving,
+		Address: k.Address, Name: k.Name, Zone: k.Zone, Incarnation: k.Inc, Capacity: float32(k.Capacity),
+		LastSeenMillis: k.LastSeenAgo.Milliseconds(), Alive: k.Alive, Direct: k.Direct, Leaving: k.Leaving,
 	}
 }
 
@@ -100,15 +100,15 @@
 	list := make([]roster.MemberInfo, 0, len(m.Entries))
 	for _, e := range m.Entries {
 		list = append(list, roster.MemberInfo{
-			Member:      roster.Member{Address: e.Address, Name: e.Name, Zone: e.Zone, Inc: e.Inc, Capacity: float64(e.Capacity)},
-			LastSeenAgo: time.Duration(e.Heard) * time.Millisecond, Alive: e.Lives, Direct: e.Hears, Leaving: e.Leaving,
+			Member:      roster.Member{Address: e.Address, Name: e.Name, Zone: e.Zone, Inc: e.Incarnation, Capacity: float64(e.Capacity)},
+			LastSeenAgo: time.Duration(e.LastSeenMillis) * time.Millisecond, Alive: e.Alive, Direct: e.Direct, Leaving: e.Leaving,
 		})
 	}
 	if len(m.Entries) > 0 && !s.roster.ApplyReport(s.now, from, roster.Report{Digest: m.Digest, Base: m.Base, Members: list}) {
 		s.requestRoster(from)
 	}
 	s.raiseIncarnation()
-	if m.Answer {
+	if m.WantReply {
 		s.sendFullRoster(from, false)
 	}
 	s.scheduleMembersUpdate()
--- a/internal/dispatch/screen_test.go
+++ b/internal/dispatch/screen_test.go
@@ -31,8 +31,8 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			d := &Dispatcher{opt: options{clock: clock.System(), random: rand.New(rand.NewPCG(1, 1)).Float64}, admission: newAdmission()}
-			key := wire.KeyOf("moka")
-			storeFractions(&d.admission.fractions, map[wire.Key]float64{key: tc.share})
+			key := wire.HashName("moka")
+			storeFractions(&d.admission.fractions, map[wire.NameHash]float64{key: tc.share})
 			d.admission.counters[key] = &accountCounter{budget: tc.inTime * requests}
 			in, codes := 0, map[string]int{}
 			for range requests {
@@ -83,7 +83,7 @@
 func TestMayForward(t *testing.T) {
 	const requests, admitted, forwardBudget = 100, 10, 30
 	d := &Dispatcher{opt: options{clock: clock.System(), random: rand.Float64}, admission: newAdmission()}
-	key := wire.KeyOf("moka")
+	key := wire.HashName("moka")
 	d.admission.counters[key] = &accountCounter{budget: admitted}
 	d.admission.forwardBudget = forwardBudget
 	handed := 0
--- a/internal/dispatch/verified.go
+++ b/internal/dispatch/verified.go
@@ -14,9 +14,9 @@
 
 // handleVerified records that another router verified the revision known here. A relay passes
 // that on to the relays of other zones.
-func (s *state) handleVerified(from peer.Inbound, m *wire.State) {
+func (s *state) handleVerified(from peer.Inbound, m *wire.RouterState) {
 	before := time.Duration(s.d.shared.lastVerified.Load())
-	at := m.Echo.At() + time.Duration(m.Held-m.Age)*time.Millisecond
+	at := m.Echo.At() + time.Duration(m.EchoAgeMillis-m.VerifiedAgeMillis)*time.Millisecond
 	s.d.recordVerified(at)
 	if at-before >= minVerifiedGain && s.peerPlan.Relay && from.Zone == s.d.id.Zone && !slices.Contains(s.peerPlan.Peers, from.From) {
 		s.sendVerified(s.peerPlan.RemoteRelays)
@@ -52,15 +52,15 @@
 }
 
 // stateMessage returns a report without flows and prefix copies.
-func (s *state) stateMessage(to string) *wire.State {
+func (s *state) stateMessage(to string) *wire.RouterState {
 	l := s.link(to)
 	asOf := s.catalog.AsOf()
-	m := &wire.State{Stamp: wire.StampOf(s.now), Epoch: asOf.Epoch, AsOf: asOf.Number, Age: -1, Leaving: s.d.Draining()}
+	m := &wire.RouterState{Stamp: wire.StampOf(s.now), Epoch: asOf.Epoch, AsOf: asOf.Number, VerifiedAgeMillis: -1, Leaving: s.d.Draining()}
 	if l.stamp > 0 {
-		m.Echo, m.Held = l.stamp, (s.now - l.stampReceivedAt).Milliseconds()
+		m.Echo, m.EchoAgeMillis = l.stamp, (s.now - l.stampReceivedAt).Milliseconds()
 	}
 	if verified := time.Duration(s.d.shared.lastVerified.Load()); verified > 0 {
-		m.Age = (s.now - verified).Milliseconds() + 1
+		m.VerifiedAgeMillis = (s.now - verified).Milliseconds() + 1
 	}
 	return m
 }
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -240,7 +240,7 @@
 }
 
 func (r *simRouter) Inbox() <-chan peer.Inbound { return nil }
-func (r *simRouter) Losses() <-chan peer.Lost   { return nil }
+func (r *simRouter) Losses() <-chan peer.Loss   { return nil }
 
 // step applies an event like the event loop.
 func (r *simRouter) step(ev event) {
@@ -397,7 +397,7 @@
 	if !to.up || !sim.connected(from, to) {
 		sim.dropConnection(d)
 		if sameIncarnation {
-			from.step(lossEvent{peer.Lost{Peer: d.to, Refused: !to.up}})
+			from.step(lossEvent{peer.Loss{Peer: d.to, Refused: !to.up}})
 		}
 		return
 	}
@@ -411,7 +411,7 @@
 		return
 	}
 	for _, m := range msgs {
-		to.step(messageEvent{peer.Inbound{From: d.from, Name: d.from, Zone: d.zone, Inc: d.inc, Msg: m}})
+		to.step(messageEvent{peer.Inbound{From: d.from, Name: d.from, Zone: d.zone, Incarnation: d.inc, Msg: m}})
 	}
 }
 
--- a/internal/front/early.go
+++ b/internal/front/early.go
@@ -136,7 +136,7 @@
 	return &earlyRequest{
 		request: Request{
 			ID: fields.id, Account: account.Name, Model: route.Pick(rand.Float64()), Deadline: s.clock().Now().Add(timeout),
-			Prompt: sizes.tokens, Output: sizes.output, Target: route.Target,
+			Prompt: sizes.tokens, Output: sizes.output, Target: route.TargetLatency,
 		},
 		bodyLength: fields.contentLength, prompt: sizes,
 	}, true
--- a/internal/front/early_test.go
+++ b/internal/front/early_test.go
@@ -28,8 +28,8 @@
 		f.refusal = verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "over-share", "retry later").WithRetryAfter(1500 * time.Millisecond)
 	}
 	f.table.Routes = []table.Route{
-		{Name: "r", Host: "forms.example", Prefix: "/a/", Target: time.Second, Stream: true, Targets: []table.Target{{Service: "scores", Weight: 1}}},
-		{Name: "p", Host: "forms.example", Prefix: "/public/", Public: true, Target: time.Second, Targets: []table.Target{{Service: "scores", Weight: 1}}},
+		{Name: "r", Host: "forms.example", Prefix: "/a/", TargetLatency: time.Second, Stream: true, Targets: []table.Target{{Service: "scores", Weight: 1}}},
+		{Name: "p", Host: "forms.example", Prefix: "/public/", Public: true, TargetLatency: time.Second, Targets: []table.Target{{Service: "scores", Weight: 1}}},
 	}
 	f.table.Index()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/pkg/admit/account.go
+++ b/pkg/admit/account.go
@@ -66,17 +66,17 @@
 // accounts divides the engines' throughput among accounts by max-min fairness: each gets what
 // it demands up to a fair share that is the same for all.
 type accounts struct {
-	byKey       map[wire.Key]*account
+	byKey       map[wire.NameHash]*account
 	capacity    float64
 	fairShare   float64
 	fairShareAt time.Duration
 }
 
 func newAccounts() *accounts {
-	return &accounts{byKey: map[wire.Key]*account{}, fairShare: math.Inf(1)}
+	return &accounts{byKey: map[wire.NameHash]*account{}, fairShare: math.Inf(1)}
 }
 
-func (as *accounts) get(key wire.Key) *account {
+func (as *accounts) get(key wire.NameHash) *account {
 	a, ok := as.byKey[key]
 	if !ok {
 		a = &account{recentDemand: rate{tau: recentTimeConstant}}
@@ -93,7 +93,7 @@
 }
 
 // addPeerFlows adds a report of another router to the sums, or subtracts it if sign is -1.
-func (as *accounts) addPeerFlows(flows map[wire.Key]flow, sign float64) {
+func (as *accounts) addPeerFlows(flows map[wire.NameHash]flow, sign float64) {
 	for key, f := range flows {
 		a := as.get(key)
 		a.peers.demand = max(0, a.peers.demand+sign*f.demand)
@@ -102,8 +102,8 @@
 }
 
 // ownFlows returns this router's flows that are not negligible.
-func (as *accounts) ownFlows(now time.Duration) map[wire.Key]flow {
-	flows := make(map[wire.Key]flow, len(as.byKey))
+func (as *accounts) ownFlows(now time.Duration) map[wire.NameHash]flow {
+	flows := make(map[wire.NameHash]flow, len(as.byKey))
 	for key, a := range as.byKey {
 		f := flow{demand: a.demand.get(now), started: a.started.get(now)}
 		if f.demand >= 1 || f.started >= 1 {
@@ -121,7 +121,7 @@
 
 // usageRatio returns the rate of an account's started requests relative to the fair share, 0 if
 // that is unlimited.
-func (as *accounts) usageRatio(key wire.Key, now time.Duration) float64 {
+func (as *accounts) usageRatio(key wire.NameHash, now time.Duration) float64 {
 	as.refreshFairShare(now)
 	started := as.get(key).flow(now).started
 	if math.IsInf(as.fairShare, 1) || as.fairShare <= 0 {
@@ -131,7 +131,7 @@
 }
 
 // backlogged reports whether an account's demand exceeds the fair share.
-func (as *accounts) backlogged(key wire.Key, now time.Duration) bool {
+func (as *accounts) backlogged(key wire.NameHash, now time.Duration) bool {
 	as.refreshFairShare(now)
 	return as.get(key).flow(now).demand > as.fairShare
 }
@@ -151,13 +151,13 @@
 // AdmitFractions returns, for each account whose demand far exceeds its fair share, the
 // fraction of its requests to admit. The others would get no slot and should be refused before
 // any work is done for them.
-func (c *Core) AdmitFractions(now time.Duration) map[wire.Key]float64 {
+func (c *Core) AdmitFractions(now time.Duration) map[wire.NameHash]float64 {
 	as := c.accounts
 	as.refreshFairShare(now)
 	if math.IsInf(as.fairShare, 1) || as.fairShare <= 0 {
 		return nil
 	}
-	var fractions map[wire.Key]float64
+	var fractions map[wire.NameHash]float64
 	lagging := as.anyLagging(now)
 	for key, a := range as.byKey {
 		f := a.flow(now)
@@ -169,7 +169,7 @@
 			continue
 		}
 		if fractions == nil {
-			fractions = map[wire.Key]float64{}
+			fractions = map[wire.NameHash]float64{}
 		}
 		fractions[key] = limit / demand
 	}
@@ -197,7 +197,7 @@
 }
 
 // CountRefused adds the demand of requests that were refused before they reached Step.
-func (c *Core) CountRefused(now time.Duration, account wire.Key, tokens float64) {
+func (c *Core) CountRefused(now time.Duration, account wire.NameHash, tokens float64) {
 	c.accounts.get(account).addDemand(now, tokens)
 }
 
--- a/pkg/admit/ask.go
+++ b/pkg/admit/ask.go
@@ -242,7 +242,7 @@
 		c.recordCopy(s, r.Prefix)
 	}
 	c.startRequest(r, s, Start{FetchFrom: from, Reason: reasonOwnerTimeout, Running: s.running(c.now)})
-	c.notifyOwner(r, &wire.Note{Kind: wire.NoteStarted, Unread: r.unread})
+	c.notifyOwner(r, &wire.RequestUpdate{Kind: wire.RequestStarted, PrefillTokens: r.unread})
 	return true
 }
 
@@ -272,41 +272,41 @@
 	if r.MaxWait > 0 && !r.MayHaveRun {
 		wait = min(wait, r.arrivedAt+r.MaxWait-c.now)
 	}
-	c.send(s.owner, &wire.Ask{
+	c.send(s.owner, &wire.SlotRequest{
 		ID: r.ID, Server: s.key, Account: r.account, AccountRank: r.AccountRank, Rank: r.Rank,
-		Prefix: r.Prefix, Prompt: r.Prompt, Shared: r.Shared,
+		Prefix: r.Prefix, PromptTokens: r.Prompt, SharedTokens: r.Shared,
 		TargetMillis: (r.arrivedAt + target - c.now).Milliseconds(), WaitMillis: wait.Milliseconds(), Spill: reason == reasonSpill,
-		Begun: r.MayHaveRun, Fetch: a.source != nil, Alone: a.isolation == exclusive,
+		MayHaveRun: r.MayHaveRun, CopyPrefix: a.source != nil, Exclusive: a.isolation == exclusive,
 	})
 }
 
 // handleReply processes an owner's reply to a slot request.
-func (c *Core) handleReply(from string, reply *wire.Reply) {
+func (c *Core) handleReply(from string, reply *wire.SlotReply) {
 	if s, ok := c.servers[reply.Server]; ok {
-		s.reported, s.reportedAt = occupancy{running: reply.Running, unread: reply.Unread}, c.now
-		if reply.State != wire.PlaceGranted {
+		s.reported, s.reportedAt = occupancy{running: reply.Running, unread: reply.PrefillTokens}, c.now
+		if reply.State != wire.SlotGranted {
 			s.busyUntil = c.now + busyPeriod
 		}
 	}
 	r, ok := c.requests[reply.ID]
 	a := r.askOf(reply.Server)
 	if !ok || r.server != nil || a == nil {
-		if reply.State == wire.PlaceGranted && (r == nil || r.server == nil || r.server.key != reply.Server) {
-			c.send(from, &wire.Note{ID: reply.ID, Server: reply.Server, Kind: wire.NoteEnded, Result: uint8(Unknown)})
+		if reply.State == wire.SlotGranted && (r == nil || r.server == nil || r.server.key != reply.Server) {
+			c.send(from, &wire.RequestUpdate{ID: reply.ID, Server: reply.Server, Kind: wire.RequestEnded, Result: uint8(Unknown)})
 		}
 		return
 	}
 	switch {
-	case reply.State == wire.PlaceGranted && c.grantExpired(r, a):
-		c.send(from, &wire.Note{ID: reply.ID, Server: reply.Server, Kind: wire.NoteEnded, Result: uint8(Unknown)})
+	case reply.State == wire.SlotGranted && c.grantExpired(r, a):
+		c.send(from, &wire.RequestUpdate{ID: reply.ID, Server: reply.Server, Kind: wire.RequestEnded, Result: uint8(Unknown)})
 		a.state = askDenied
 		c.advance(r)
-	case reply.State == wire.PlaceGranted:
+	case reply.State == wire.SlotGranted:
 		c.startGranted(r, a, reply)
-	case reply.State == wire.PlaceQueued:
+	case reply.State == wire.SlotQueued:
 		a.state = askQueued
 		c.advance(r)
-	case reply.State == wire.PlaceDenied:
+	case reply.State == wire.SlotDenied:
 		a.state = askDenied
 		c.advance(r)
 	}
@@ -327,7 +327,7 @@
 	return long && a.sentAt <= c.pause.from && c.now-c.pause.to < resumeGrace
 }
 
-func (r *request) askOf(server wire.Key) *ask {
+func (r *request) askOf(server wire.NameHash) *ask {
 	if r == nil {
 		return nil
 	}
@@ -340,17 +340,17 @@
 }
 
 // startGranted starts a request for which a slot was granted.
-func (c *Core) startGranted(r *request, a *ask, reply *wire.Reply) {
-	r.unread = reply.Own
-	if r.Prefix != 0 && (a.reason != reasonPreferred || reply.Fetch || reply.Own > r.Prompt-r.Shared) {
+func (c *Core) startGranted(r *request, a *ask, reply *wire.SlotReply) {
+	r.unread = reply.OwnPrefillTokens
+	if r.Prefix != 0 && (a.reason != reasonPreferred || reply.CopyPrefix || reply.OwnPrefillTokens > r.Prompt-r.Shared) {
 		c.recordCopy(a.server, r.Prefix)
 	}
 	from := ""
-	if reply.Fetch {
+	if reply.CopyPrefix {
 		from = a.source.address()
 	}
 	c.startRequest(r, a.server, Start{
-		FetchFrom: from, Reason: a.reason, TokensAhead: reply.Ahead, ExpectedDelay: time.Duration(reply.ExpectedMillis) * time.Millisecond, Running: reply.Running,
+		FetchFrom: from, Reason: a.reason, TokensAhead: reply.TokensAhead, ExpectedDelay: time.Duration(reply.ExpectedMillis) * time.Millisecond, Running: reply.Running,
 	})
 }
 
@@ -362,6 +362,6 @@
 func (c *Core) recordCopy(s *server, prefix uint64) {
 	s.prefixes.add(prefix, c.now)
 	if len(c.newCopies) < maxCopies {
-		c.newCopies = append(c.newCopies, wire.Copy{Prefix: prefix, Server: s.key})
+		c.newCopies = append(c.newCopies, wire.PrefixCopy{Prefix: prefix, Server: s.key})
 	}
 }
--- a/pkg/admit/capacity.go
+++ b/pkg/admit/capacity.go
@@ -27,7 +27,7 @@
 	cutAt time.Duration
 	// demand is the arrival rate of requests by account, refusals the rate of refusals, both
 	// moving averages.
-	demand   map[wire.Key]float64
+	demand   map[wire.NameHash]float64
 	refusals float64
 	// admitted is the fraction of the demand that the last plan admitted.
 	admitted float64
@@ -78,7 +78,7 @@
 		processors = 1
 	}
 	rate := ratePerCore * processors
-	return &CapacityEstimator{rate: rate, minRate: minRateFraction * rate, maxRate: maxRateFraction * rate, throttle: 1, demand: map[wire.Key]float64{}, admitted: 1}
+	return &CapacityEstimator{rate: rate, minRate: minRateFraction * rate, maxRate: maxRateFraction * rate, throttle: 1, demand: map[wire.NameHash]float64{}, admitted: 1}
 }
 
 // ObserveDelay adds a sample of the processing delay.
@@ -117,7 +117,7 @@
 // account, and the number refused. It divides the capacity among accounts by max-min fairness.
 // If requests can be forwarded, it reserves as much time for that as maximizes the requests
 // processed in the fleet.
-func (e *CapacityEstimator) Plan(period time.Duration, arrived map[wire.Key]int, refused int, canForward bool) AdmissionPlan {
+func (e *CapacityEstimator) Plan(period time.Duration, arrived map[wire.NameHash]int, refused int, canForward bool) AdmissionPlan {
 	e.observeDemand(period, arrived, refused)
 	capacity := max(e.minRate, e.rate-refusalCost*e.refusals) * e.throttle
 	demand := e.totalDemand()
@@ -139,7 +139,7 @@
 }
 
 // observeDemand updates the moving averages of demand and refusals.
-func (e *CapacityEstimator) observeDemand(period time.Duration, arrived map[wire.Key]int, refused int) {
+func (e *CapacityEstimator) observeDemand(period time.Duration, arrived map[wire.NameHash]int, refused int) {
 	seconds := max(period, time.Millisecond).Seconds()
 	e.refusals += demandWeight * (float64(refused)/seconds - e.refusals)
 	for key := range arrived {
--- a/pkg/admit/capacity_test.go
+++ b/pkg/admit/capacity_test.go
@@ -22,7 +22,7 @@
 	const settleTime = 2 * time.Second
 	e := admit.NewCapacityEstimator(processor)
 	backlog, sum, steps, remainder := 0.0, 0.0, 0, 0.0
-	key := wire.KeyOf("moka")
+	key := wire.HashName("moka")
 	plan := e.Plan(step, nil, 0, false)
 	for now := time.Duration(0); now < duration; now += step {
 		arrived := perSecond*step.Seconds() + remainder
@@ -33,7 +33,7 @@
 		backlog = max(0, backlog-processor*step.Seconds())
 		delaySeconds := backlog / processor
 		e.ObserveDelay(now, time.Duration(delaySeconds*float64(time.Second)))
-		plan = e.Plan(step, map[wire.Key]int{key: int(arrived)}, int(arrived-admitted), false)
+		plan = e.Plan(step, map[wire.NameHash]int{key: int(arrived)}, int(arrived-admitted), false)
 		if now >= settleTime {
 			processed += admitted
 			sum += delaySeconds
@@ -80,10 +80,10 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			e := admit.NewCapacityEstimator(0.192)
-			key := wire.KeyOf("moka")
+			key := wire.HashName("moka")
 			var plan admit.AdmissionPlan
 			for range 8 {
-				plan = e.Plan(time.Second, map[wire.Key]int{key: tc.arrived}, 0, tc.canForward)
+				plan = e.Plan(time.Second, map[wire.NameHash]int{key: tc.arrived}, 0, tc.canForward)
 				if plan.Forward < 0 {
 					t.Fatalf("Forward is %.1f", plan.Forward)
 				}
--- a/pkg/admit/core.go
+++ b/pkg/admit/core.go
@@ -78,7 +78,7 @@
 	routersByZone map[string]int
 	// unreachableZones are the zones in which this router reaches no router.
 	unreachableZones map[string]bool
-	servers          map[wire.Key]*server
+	servers          map[wire.NameHash]*server
 	// generation is incremented with each table update.
 	generation uint64
 	// sortedServers is sorted by name. ownedServers are those for which this router keeps owner
@@ -96,7 +96,7 @@
 	// answeredAt is when an attempt of a suspect request last began to respond.
 	answeredAt map[suspect.Digest]time.Duration
 	// notices is what backend servers announced about themselves, by incarnation.
-	notices map[wire.Key]*notice
+	notices map[wire.NameHash]*notice
 	// waiting are the requests without a slot, in order of arrival.
 	waiting  []*request
 	accounts *accounts
@@ -110,10 +110,10 @@
 	// unresponsiveSince is when an owner last failed to reply in time.
 	unresponsiveSince map[string]time.Duration
 	// newCopies are the prefix copies made since the last snapshot.
-	newCopies []wire.Copy
+	newCopies []wire.PrefixCopy
 	// zoneCopies and remoteCopies are the copies reported since the last snapshot by routers of
 	// this zone and of other zones.
-	zoneCopies, remoteCopies []wire.Copy
+	zoneCopies, remoteCopies []wire.PrefixCopy
 	// withinShare is the rate of requests, at the backend servers owned here, of accounts whose
 	// demand is within their fair share. withinShareDelayed is the rate of those that got no
 	// slot at once.
@@ -165,10 +165,10 @@
 	c := &Core{
 		opt:               options{self: self},
 		routers:           []Router{self},
-		servers:           map[wire.Key]*server{},
+		servers:           map[wire.NameHash]*server{},
 		services:          map[string]*service{},
 		requests:          map[uint64]*request{},
-		notices:           map[wire.Key]*notice{},
+		notices:           map[wire.NameHash]*notice{},
 		suspects:          suspect.New(),
 		trials:            map[suspect.Digest]trial{},
 		answeredAt:        map[suspect.Digest]time.Duration{},
@@ -229,17 +229,17 @@
 
 func (c *Core) receive(from string, msg any) {
 	switch m := msg.(type) {
-	case *wire.Ask:
+	case *wire.SlotRequest:
 		c.handleAsk(from, m)
-	case *wire.Reply:
+	case *wire.SlotReply:
 		c.handleReply(from, m)
-	case *wire.Note:
+	case *wire.RequestUpdate:
 		c.handleRequestUpdate(from, m)
-	case *wire.Sync:
+	case *wire.RequestSync:
 		c.reconcileInFlight(from, m)
 	case *wire.Leaving:
 		c.handleLeaving(from, m)
-	case *wire.Suspects:
+	case *wire.SuspectUpdate:
 		c.handleSuspects(from, m)
 	}
 }
--- a/pkg/admit/notice_test.go
+++ b/pkg/admit/notice_test.go
@@ -205,9 +205,9 @@
 // recorded.
 func TestLeavingOfUnknownServersIsIgnored(t *testing.T) {
 	w := newWorld(1, 2, []string{"a"}, 1)
-	var unknown []wire.Key
+	var unknown []wire.NameHash
 	for i := range 1000 {
-		unknown = append(unknown, wire.KeyOf(fmt.Sprint("none-", i)))
+		unknown = append(unknown, wire.HashName(fmt.Sprint("none-", i)))
 	}
 	w.step(w.order[0], admit.Message{From: w.order[1], Msg: &wire.Leaving{Servers: unknown}})
 	if leaving, backingOff := w.cores[w.order[0]].Notices(); len(leaving)+len(backingOff) > 0 {
--- a/pkg/admit/shares.go
+++ b/pkg/admit/shares.go
@@ -21,7 +21,7 @@
 	// LeastServedAccount is the account that gets the least fraction of its demand, or of what
 	// the best served account gets if that is less. LeastServedFraction is that fraction, 1 if
 	// no account waits.
-	LeastServedAccount  wire.Key
+	LeastServedAccount  wire.NameHash
 	LeastServedFraction float64
 }
 
--- a/pkg/admit/weights.go
+++ b/pkg/admit/weights.go
@@ -51,7 +51,7 @@
 const queueFullRetryAfter = 2 * time.Second
 
 // usageKey identifies an account's usage of a service.
-type usageKey struct{ service, account wire.Key }
+type usageKey struct{ service, account wire.NameHash }
 
 // accountUsage is an account's usage of a service as this router knows it.
 type accountUsage struct {
@@ -63,7 +63,7 @@
 	// queue are the waiting requests of this router in order.
 	queue []*request
 	// peers is the last report of each other source.
-	peers map[reportSource]wire.AccountUse
+	peers map[reportSource]wire.AccountUsage
 	// totalServed and totalRequests are sums over all routers.
 	totalServed, totalRequests int64
 	// unreported are the times of recent grants to other routers.
@@ -76,9 +76,9 @@
 
 // weightedScheduler schedules accounts by their weights.
 type weightedScheduler struct {
-	accounts map[wire.Key]table.Account
+	accounts map[wire.NameHash]table.Account
 	// queues order the accounts of each service by virtual time.
-	queues map[wire.Key]*fair.Queue
+	queues map[wire.NameHash]*fair.Queue
 	usages map[usageKey]*accountUsage
 }
 
@@ -89,14 +89,14 @@
 }
 
 func newWeightedScheduler() *weightedScheduler {
-	return &weightedScheduler{accounts: map[wire.Key]table.Account{}, queues: map[wire.Key]*fair.Queue{}, usages: map[usageKey]*accountUsage{}}
+	return &weightedScheduler{accounts: map[wire.NameHash]table.Account{}, queues: map[wire.NameHash]*fair.Queue{}, usages: map[usageKey]*accountUsage{}}
 }
 
 // setAccounts replaces the account rows.
 func (w *weightedScheduler) setAccounts(accounts []table.Account, now time.Duration) {
-	w.accounts = make(map[wire.Key]table.Account, len(accounts))
+	w.accounts = make(map[wire.NameHash]table.Account, len(accounts))
 	for _, a := range accounts {
-		w.accounts[wire.KeyOf(a.Name)] = a
+		w.accounts[wire.HashName(a.Name)] = a
 	}
 	for k, u := range w.usages {
 		w.queue(k.service).SetWeight(queueName(k.account), w.accounts[k.account].Weight)
@@ -104,7 +104,7 @@
 	}
 }
 
-func (w *weightedScheduler) queue(service wire.Key) *fair.Queue {
+func (w *weightedScheduler) queue(service wire.NameHash) *fair.Queue {
 	q, ok := w.queues[service]
 	if !ok {
 		q = fair.New()
@@ -118,7 +118,7 @@
 	u, ok := w.usages[k]
 	if !ok {
 		row := w.accounts[k.account]
-		u = &accountUsage{peers: map[reportSource]wire.AccountUse{}, peerWaitingAt: -peerWaitingTTL}
+		u = &accountUsage{peers: map[reportSource]wire.AccountUsage{}, peerWaitingAt: -peerWaitingTTL}
 		u.limiter = u.limiter.update(row.Limits, now)
 		w.usages[k] = u
 		w.queue(k.service).SetWeight(queueName(k.account), row.Weight)
@@ -127,7 +127,7 @@
 }
 
 // queueName returns the name of an account in a fair.Queue.
-func queueName(account wire.Key) string { return strconv.FormatUint(uint64(account), 36) }
+func queueName(account wire.NameHash) string { return strconv.FormatUint(uint64(account), 36) }
 
 // charge adds usage of this router's requests.
 func (w *weightedScheduler) charge(k usageKey, tokens int64, now time.Duration) {
@@ -190,7 +190,7 @@
 }
 
 // applyReport applies the usage reported by another source.
-func (w *weightedScheduler) applyReport(source reportSource, reported []wire.AccountUse, now time.Duration) {
+func (w *weightedScheduler) applyReport(source reportSource, reported []wire.AccountUsage, now time.Duration) {
 	listed := make(map[usageKey]bool, len(reported))
 	for _, x := range reported {
 		k := usageKey{x.Service, x.Account}
@@ -229,7 +229,7 @@
 }
 
 // usageKey returns the key of the usage to which the request counts.
-func (r *request) usageKey() usageKey { return usageKey{wire.KeyOf(r.Service), r.account} }
+func (r *request) usageKey() usageKey { return usageKey{wire.HashName(r.Service), r.account} }
 
 // enqueue adds a waiting request. It returns a refusal if too many requests of the account
 // wait.
@@ -265,7 +265,7 @@
 }
 
 // waitingCount returns the number of an account's requests that wait at this router.
-func (w *weightedScheduler) waitingCount(account wire.Key) int {
+func (w *weightedScheduler) waitingCount(account wire.NameHash) int {
 	n := 0
 	for k, u := range w.usages {
 		if k.account == account {
@@ -332,7 +332,7 @@
 	if a.Account == b.Account {
 		return cmp.Compare(a.due, b.due)
 	}
-	service := wire.KeyOf(c.serviceOf(s).name)
+	service := wire.HashName(c.serviceOf(s).name)
 	return cmp.Or(
 		cmp.Compare(c.weighted.virtualTime(usageKey{service, a.Account}, c.now), c.weighted.virtualTime(usageKey{service, b.Account}, c.now)),
 		cmp.Compare(a.due, b.due),
@@ -346,13 +346,13 @@
 }
 
 // Uses returns the account usage of a scope for a receiver.
-func (s *Snapshot) Uses(scope wire.Scope, receiver string) []wire.AccountUse {
+func (s *Snapshot) Uses(scope wire.Scope, receiver string) []wire.AccountUsage {
 	if s.core.weighted == nil {
 		return nil
 	}
-	var list []wire.AccountUse
+	var list []wire.AccountUsage
 	for k, u := range s.core.weighted.usages {
-		x := wire.AccountUse{Service: k.service, Account: k.account, Served: u.served, Requests: u.requests, Running: u.running, Waiting: u.waiting}
+		x := wire.AccountUsage{Service: k.service, Account: k.account, Served: u.served, Requests: u.requests, Running: u.running, Waiting: u.waiting}
 		for source, o := range u.peers {
 			if s.core.includesSource(source, scope, receiver) {
 				x.Served += o.Served
@@ -386,7 +386,7 @@
 	From string
 	// Zone is the sender's zone.
 	Zone string
-	Msg  *wire.Uses
+	Msg  *wire.Usage
 }
 
 func (e PeerUsage) apply(c *Core) {
--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -275,7 +275,7 @@
 	delete(c.goneAt, name)
 	delete(c.vanished, name)
 	warmupChanged := c.updateWarmup(now, &s.Backend)
-	return warmupChanged || !known || old.Gone || !old.Backend.SameButWarmup(&s.Backend)
+	return warmupChanged || !known || old.Gone || !old.Backend.EqualExceptWarmup(&s.Backend)
 }
 
 // lastLive returns the revision of the last change before any removal, 0 if unknown.
--- a/pkg/once/ballot.go
+++ b/pkg/once/ballot.go
@@ -34,6 +34,6 @@
 	case counts[wire.ClaimGranted]+counts[wire.ClaimUnknown] >= Majority(b.Homes):
 		return wire.ClaimUnknown, all
 	default:
-		return wire.ClaimCutOff, all
+		return wire.ClaimUnreachable, all
 	}
 }
--- a/pkg/table/parse_route.go
+++ b/pkg/table/parse_route.go
@@ -10,7 +10,7 @@
 func (c *checker) route(i int, r *Route) {
 	c.name("route", r.Name, "routes", i, "name")
 	if r.Host == "" {
-		c.doc.Add("is missing; write the callers' host name", "routes", i, "host")
+		c.doc.Add("is missing; write the host name that clients use", "routes", i, "host")
 	}
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		c.doc.Add(fmt.Sprintf("%q must begin and end with a slash", r.Prefix), "routes", i, "prefix")
@@ -27,9 +27,9 @@
 	for _, d := range []struct {
 		field string
 		value time.Duration
-	}{{"timeout", r.Timeout}, {"target", r.Target}, {"pause", r.Pause}, {"attempts", time.Duration(r.Attempts)}} {
+	}{{"timeout", r.Timeout}, {"target", r.TargetLatency}, {"pause", r.TargetGap}, {"attempts", time.Duration(r.Attempts)}} {
 		if d.value < 0 {
-			c.doc.Add("must not be below zero", "routes", i, d.field)
+			c.doc.Add("must not be negative", "routes", i, d.field)
 		}
 	}
 }
@@ -54,29 +54,29 @@
 		c.doc.Add(fmt.Sprintf("%q must begin with a slash", s.Health), "services", i, "health")
 	}
 	if s.MaxConnections < 0 {
-		c.doc.Add("must not be below zero", "services", i, "max_connections")
+		c.doc.Add("must not be negative", "services", i, "max_connections")
 	}
 	if !(s.WarmupRate >= 0) || math.IsInf(s.WarmupRate, 0) {
-		c.doc.Add("must be a number that is not below zero", "services", i, "warmup_rate")
+		c.doc.Add("must be a finite number that is not negative", "services", i, "warmup_rate")
 	}
 	if s.WarmupTime < 0 {
-		c.doc.Add("must not be below zero", "services", i, "warmup_time")
+		c.doc.Add("must not be negative", "services", i, "warmup_time")
 	}
 	if s.CacheTokens < 0 {
-		c.doc.Add("must not be below zero", "services", i, "cache_tokens")
+		c.doc.Add("must not be negative", "services", i, "cache_tokens")
 	}
 }
 
-// bounds takes a page's bounds; they may stand on one page only.
+// bounds validates a page's bounds and adds them to the table. Only one page may have any.
 func (c *checker) bounds(t *Table, b *Bounds) {
 	if *b == (Bounds{}) {
 		return
 	}
 	if t.Bounds != (Bounds{}) {
-		c.doc.Add("stand on another page too; keep them on one", "bounds")
+		c.doc.Add("occur on another page too; keep them on one", "bounds")
 	}
 	if b.HeaderBytes < 0 || b.BodyBytes < 0 || b.HeaderTime < 0 || b.IdleTime < 0 || !(b.TokensPerSecond >= 0) {
-		c.doc.Add("must not be below zero", "bounds")
+		c.doc.Add("must not be negative", "bounds")
 	}
 	t.Bounds = *b
 }
