--- a/internal/router/acquire.go
+++ b/internal/router/acquire.go
@@ -13,13 +13,13 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// Refusals at admission. None of them has run.
+// Errors at admission. The requests have not run.
 var (
 	errQueueFull = verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "queue-full",
 		"too many requests of this client account wait here; come back later")
-	errStopping = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "draining",
+	errDraining = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "draining",
 		"this entry instance is stopping; send the request again")
-	errGone = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "stopped",
+	errStopped = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "stopped",
 		"this entry instance stopped while the request waited")
 	errNoTable = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "no-table",
 		"this entry instance has no table yet")
@@ -27,8 +27,8 @@
 		"the client account is no longer in the table")
 )
 
-// acquired is the core's answer to a request for a slot.
-type acquired struct {
+// acquireResult is the core's reply to a request for a slot.
+type acquireResult struct {
 	grant front.Grant
 	err   *verdict.Error
 }
@@ -38,21 +38,21 @@
 
 // Acquire implements front.Scheduler.
 func (r *Router) Acquire(ctx context.Context, req front.Request) (front.Grant, error) {
-	answer := make(chan acquired, 1)
-	ask := &acquire{req: req, deadline: r.deadline(req.Deadline), answer: answer}
-	if !r.post(ask) {
-		return front.Grant{}, errGone
+	reply := make(chan acquireResult, 1)
+	pending := &acquire{req: req, deadline: r.deadline(req.Deadline), reply: reply}
+	if !r.post(pending) {
+		return front.Grant{}, errStopped
 	}
 	select {
-	case a := <-answer:
+	case a := <-reply:
 		return a.result()
 	case <-r.ctx.Done():
-		return front.Grant{}, errGone
+		return front.Grant{}, errStopped
 	case <-ctx.Done():
 	}
-	r.post(cancel{ask})
+	r.post(cancel{pending})
 	select {
-	case a := <-answer:
+	case a := <-reply:
 		if a.err == nil {
 			r.Release(a.grant, front.Usage{})
 		}
@@ -61,14 +61,14 @@
 	return front.Grant{}, ctx.Err()
 }
 
-func (a acquired) result() (front.Grant, error) {
+func (a acquireResult) result() (front.Grant, error) {
 	if a.err != nil {
 		return front.Grant{}, a.err
 	}
 	return a.grant, nil
 }
 
-// deadline returns a wall time on the router's clock.
+// deadline converts a wall time to the router's clock.
 func (r *Router) deadline(t time.Time) time.Duration {
 	return r.now() + clock.System().Until(t)
 }
@@ -78,37 +78,37 @@
 	r.post(release{id: g.ID, usage: u})
 }
 
-// CheckAdmission implements front.Scheduler: every request is taken.
+// CheckAdmission implements front.Scheduler. It admits every request.
 func (r *Router) CheckAdmission(front.Request) *verdict.Error { return nil }
 
 // SpendRetry implements front.Scheduler.
 func (r *Router) SpendRetry(front.Request) bool {
-	answer := make(chan bool, 1)
-	if !r.post(spendRetry{answer}) {
+	reply := make(chan bool, 1)
+	if !r.post(spendRetry{reply}) {
 		return false
 	}
 	select {
-	case ok := <-answer:
+	case ok := <-reply:
 		return ok
 	case <-r.ctx.Done():
 		return false
 	}
 }
 
-type spendRetry struct{ answer chan<- bool }
+type spendRetry struct{ reply chan<- bool }
 
-func (e spendRetry) apply(c *core) { e.answer <- c.budget.Spend() }
+func (e spendRetry) apply(c *core) { e.reply <- c.budget.Spend() }
 
 type acquire struct {
 	req      front.Request
 	deadline time.Duration
-	answer   chan<- acquired
+	reply    chan<- acquireResult
 	id       uint64
 }
 
 func (e *acquire) apply(c *core) {
 	if err := c.admit(e); err != nil {
-		e.answer <- acquired{err: err}
+		e.reply <- acquireResult{err: err}
 		return
 	}
 	if e.req.Attempt == 0 {
@@ -116,7 +116,7 @@
 	}
 	c.nextID++
 	e.id = c.nextID
-	c.waiting[e.id] = e.answer
+	c.waiting[e.id] = e.reply
 	c.runHolder(hold.Arrive{
 		ID: e.id, Account: e.req.Account, Model: e.req.Model, Priority: e.req.Priority,
 		Deadline: e.deadline, Waited: e.req.Waited,
@@ -124,12 +124,12 @@
 	})
 }
 
-// retryAfter is when a caller whose account has too much waiting may return.
+// retryAfter is the Retry-After time of a refused request.
 const retryAfter = 2 * time.Second
 
 func (c *core) admit(e *acquire) *verdict.Error {
 	if c.draining {
-		return errStopping.WithRetryAfter(time.Second)
+		return errDraining.WithRetryAfter(time.Second)
 	}
 	if c.table == nil {
 		return errNoTable.WithRetryAfter(time.Second)
@@ -144,35 +144,35 @@
 	return nil
 }
 
-type cancel struct{ ask *acquire }
+type cancel struct{ pending *acquire }
 
 func (e cancel) apply(c *core) {
-	if _, waits := c.waiting[e.ask.id]; !waits || e.ask.id == 0 {
+	if _, waits := c.waiting[e.pending.id]; !waits || e.pending.id == 0 {
 		return
 	}
-	c.runHolder(hold.Cancel{ID: e.ask.id})
-	c.reply(e.ask.id, acquired{err: errGone})
+	c.runHolder(hold.Cancel{ID: e.pending.id})
+	c.reply(e.pending.id, acquireResult{err: errStopped})
 }
 
-// reply answers a waiting request once.
-func (c *core) reply(id uint64, a acquired) {
-	answer, ok := c.waiting[id]
+// reply sends the result of a request that has not got one yet.
+func (c *core) reply(id uint64, a acquireResult) {
+	reply, ok := c.waiting[id]
 	if !ok {
 		return
 	}
 	delete(c.waiting, id)
-	answer <- a
+	reply <- a
 }
 
-// begin lets a request run.
-func (c *core) begin(s hold.Start) {
+// startRequest replies to a request with the grant of its lease.
+func (c *core) startRequest(s hold.Start) {
 	b, ok := c.table.Backend(s.Lease.Backend)
 	if !ok {
 		b = table.Backend{Name: s.Lease.Backend}
 	}
 	served := &atomic.Int64{}
 	c.served[s.ID] = served
-	c.reply(s.ID, acquired{grant: front.Grant{
+	c.reply(s.ID, acquireResult{grant: front.Grant{
 		ID: s.ID, Backend: b.Name, Address: b.Address, Served: served, Waited: s.Waited,
 		MayStart: func() bool { return c.r.now() < s.Expires },
 	}})
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -14,11 +14,11 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// claimWithin is how long the homes of a key may take.
-const claimWithin = 2 * time.Second
+// claimTimeout is how long a claim waits for the key's homes.
+const claimTimeout = 2 * time.Second
 
-// Answers to a request whose key was not granted. This request itself did not
-// run, but where the key was used before, the caller's request may have.
+// Errors for requests whose key was not granted. This request has not run, but
+// an earlier one with the same key may have.
 var (
 	errKeyUsed = &verdict.Error{
 		Verdict: verdict.MayHaveRun, Phase: verdict.PhaseAdmit, Status: http.StatusConflict, Code: "key-used",
@@ -32,67 +32,67 @@
 		"the routers that remember this idempotency key cannot be reached; come back later")
 )
 
-// claiming is a key that this router waits to hear of.
-type claiming struct {
+// pendingClaim is a claim that waits for the replies of the key's homes.
+type pendingClaim struct {
 	msg    *wire.Claim
-	answer chan<- error
+	reply  chan<- error
 	until  time.Duration
 	homes  []string
-	ballot *once.ClaimQuorum
+	quorum *once.ClaimQuorum
 }
 
 func keyOf(c front.Claim) string { return c.Account + "\x00" + c.Key }
 
 // Claim implements front.Scheduler.
 func (r *Router) Claim(ctx context.Context, cl front.Claim) error {
-	answer := make(chan error, 1)
+	reply := make(chan error, 1)
 	msg := &wire.Claim{Key: keyOf(cl), Request: cl.Request}
 	if !cl.FirstUsed.IsZero() {
 		msg.At = cl.FirstUsed.UnixMilli()
 	}
-	if !r.post(claimKey{&claiming{msg: msg, answer: answer}}) {
-		return errGone
+	if !r.post(claimKey{&pendingClaim{msg: msg, reply: reply}}) {
+		return errStopped
 	}
 	select {
-	case err := <-answer:
+	case err := <-reply:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-r.ctx.Done():
-		return errGone
+		return errStopped
 	}
 }
 
 // Unclaim implements front.Scheduler.
 func (r *Router) Unclaim(cl front.Claim) {
-	r.post(voidKey{&wire.ClaimRelease{Key: keyOf(cl), Request: cl.Request}})
+	r.post(releaseKey{&wire.ClaimRelease{Key: keyOf(cl), Request: cl.Request}})
 }
 
-type claimKey struct{ *claiming }
+type claimKey struct{ *pendingClaim }
 
 func (e claimKey) apply(c *core) {
 	c.nextID++
 	e.msg.Seq = c.nextID
-	e.until = c.now + claimWithin
+	e.until = c.now + claimTimeout
 	e.homes = c.keyHomes(e.msg.Key)
-	e.ballot = once.NewClaimQuorum(len(e.homes))
-	c.claims[e.msg.Seq] = e.claiming
+	e.quorum = once.NewClaimQuorum(len(e.homes))
+	c.claims[e.msg.Seq] = e.pendingClaim
 	for _, home := range e.homes {
 		c.send(home, e.msg)
 	}
 }
 
-type voidKey struct{ msg *wire.ClaimRelease }
+type releaseKey struct{ msg *wire.ClaimRelease }
 
-func (e voidKey) apply(c *core) { c.void(c.keyHomes(e.msg.Key), e.msg) }
+func (e releaseKey) apply(c *core) { c.releaseClaim(c.keyHomes(e.msg.Key), e.msg) }
 
-func (c *core) void(homes []string, msg *wire.ClaimRelease) {
+func (c *core) releaseClaim(homes []string, msg *wire.ClaimRelease) {
 	for _, home := range homes {
 		c.send(home, msg)
 	}
 }
 
-// keyHomes returns the homes of a key by the platform's list.
+// keyHomes returns the homes of a key according to the platform's list.
 func (c *core) keyHomes(key string) []string {
 	return once.HomesOf(key, c.allListed(once.HomeZone(key, c.zones())))
 }
@@ -118,29 +118,29 @@
 	case *wire.ClaimRelease:
 		c.keys.Release(m)
 	case *wire.ClaimReply:
-		c.claimAnswered(from, m)
+		c.claimReplied(from, m)
 	}
 }
 
-func (c *core) claimAnswered(from string, m *wire.ClaimReply) {
+func (c *core) claimReplied(from string, m *wire.ClaimReply) {
 	cl, ok := c.claims[m.Seq]
 	if !ok {
 		return
 	}
-	cl.ballot.Add(from, m.State)
-	if state, final := cl.ballot.Result(); final {
-		c.endClaim(cl, state)
+	cl.quorum.Add(from, m.State)
+	if state, final := cl.quorum.Result(); final {
+		c.finishClaim(cl, state)
 	}
 }
 
-// endClaim answers a claim. One that was not granted is taken back, so that
-// it does not stand in the way of the caller's next try.
-func (c *core) endClaim(cl *claiming, state wire.ClaimState) {
+// finishClaim replies to a claim. A claim that was not granted is released, so
+// that the client's next attempt can succeed.
+func (c *core) finishClaim(cl *pendingClaim, state wire.ClaimState) {
 	delete(c.claims, cl.msg.Seq)
 	if state != wire.ClaimGranted {
-		c.void(cl.homes, &wire.ClaimRelease{Key: cl.msg.Key, Request: cl.msg.Request})
+		c.releaseClaim(cl.homes, &wire.ClaimRelease{Key: cl.msg.Key, Request: cl.msg.Request})
 	}
-	cl.answer <- claimError(state)
+	cl.reply <- claimError(state)
 }
 
 func claimError(s wire.ClaimState) error {
@@ -160,8 +160,8 @@
 	for _, seq := range slices.Sorted(maps.Keys(c.claims)) {
 		cl := c.claims[seq]
 		if c.now >= cl.until {
-			state, _ := cl.ballot.Result()
-			c.endClaim(cl, state)
+			state, _ := cl.quorum.Result()
+			c.finishClaim(cl, state)
 		}
 	}
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -17,14 +17,15 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// event is what the core takes in one step.
+// event is an input of core.step.
 type event interface{ apply(c *core) }
 
-// core is everything that one router decides with. Only its task touches it.
+// core is the decision state of one router. Only the goroutine of Router.run
+// accesses it.
 type core struct {
-	r       *Router
-	now     time.Duration
-	lastRun time.Duration
+	r        *Router
+	now      time.Duration
+	lastStep time.Duration
 
 	members *member.Members
 	sync    *tablesync.Sync
@@ -33,94 +34,95 @@
 	budget  *retry.Budget
 	keys    *once.KeyStore
 
-	table     *table.Table
-	tableAt   time.Duration
-	marks     map[string]chart.State
-	instances []platform.Instance
-	pools     map[wire.Pool][]table.Backend
-	// named is who peers say owns a pool of another zone.
-	named map[wire.Pool]naming
+	table      *table.Table
+	tableSince time.Duration
+	marks      map[string]chart.State
+	instances  []platform.Instance
+	pools      map[wire.Pool][]table.Backend
+	// ownerHints contains the owners of other zones' pools according to peers.
+	ownerHints map[wire.Pool]ownerHint
 
 	nextID  uint64
-	waiting map[uint64]chan<- acquired
+	waiting map[uint64]chan<- acquireResult
 	served  map[uint64]*atomic.Int64
-	// claims are the keys that this router waits to hear of.
-	claims map[uint64]*claiming
-	// local is what this router sends to itself.
-	local    []any
-	started  bool
-	draining bool
-	// feeds are the load readers of owned pools.
-	feeds    map[string]*loadFeed
-	snapped  time.Duration
-	ownersAt time.Duration
+	// claims contains the claims that wait for replies.
+	claims map[uint64]*pendingClaim
+	// localMessages contains messages of this router to itself.
+	localMessages []any
+	started       bool
+	draining      bool
+	// loadFeeds contains the load readers of the owned pools.
+	loadFeeds      map[string]*loadFeed
+	lastSnapshot   time.Duration
+	resumeOwnersAt time.Duration
 }
 
-// naming is an owner as a peer named it.
-type naming struct {
-	owner string
-	inc   uint64
-	at    time.Duration
+// ownerHint is the owner of a pool according to a peer.
+type ownerHint struct {
+	owner       string
+	incarnation uint64
+	at          time.Duration
 }
 
-// namedFor is how long a peer's naming of an owner outweighs the own guess.
-const namedFor = 5 * time.Second
+// ownerHintTTL is how long an owner hint overrides the owner computed from the
+// platform's list.
+const ownerHintTTL = 5 * time.Second
 
 func newCore(r *Router) *core {
 	c := &core{
-		r:       r,
-		now:     r.now(),
-		members: member.New(r.id.Name, r.id.Incarnation, r.id.Incarnation),
-		sync:    tablesync.New(r.id.Name),
-		holder:  hold.New(r.opt.hold...),
-		owners:  map[wire.Pool]*pool.Owner{},
-		budget:  retry.New(retry.DefaultShare, retry.DefaultBurst),
-		claims:  map[uint64]*claiming{},
-		pools:   map[wire.Pool][]table.Backend{},
-		named:   map[wire.Pool]naming{},
-		waiting: map[uint64]chan<- acquired{},
-		served:  map[uint64]*atomic.Int64{},
-		feeds:   map[string]*loadFeed{},
+		r:          r,
+		now:        r.now(),
+		members:    member.New(r.id.Name, r.id.Incarnation, r.id.Incarnation),
+		sync:       tablesync.New(r.id.Name),
+		holder:     hold.New(r.opt.hold...),
+		owners:     map[wire.Pool]*pool.Owner{},
+		budget:     retry.New(retry.DefaultShare, retry.DefaultBurst),
+		claims:     map[uint64]*pendingClaim{},
+		pools:      map[wire.Pool][]table.Backend{},
+		ownerHints: map[wire.Pool]ownerHint{},
+		waiting:    map[uint64]chan<- acquireResult{},
+		served:     map[uint64]*atomic.Int64{},
+		loadFeeds:  map[string]*loadFeed{},
 	}
 	c.keys = once.New(r.id.Name, c.now)
-	c.lastRun = c.now
+	c.lastStep = c.now
 	return c
 }
 
-// step takes one event, then all that it led to inside this router.
+// step applies one event and then the messages to itself that result from it.
 func (c *core) step(now time.Duration, ev event) {
 	c.now = now
-	if now-c.lastRun >= awayAfter {
-		c.wake()
+	if now-c.lastStep >= pauseThreshold {
+		c.handlePause()
 	}
-	c.lastRun = now
+	c.lastStep = now
 	ev.apply(c)
 	c.settleMembers()
-	for len(c.local) > 0 {
-		msg := c.local[0]
-		c.local = c.local[1:]
+	for len(c.localMessages) > 0 {
+		msg := c.localMessages[0]
+		c.localMessages = c.localMessages[1:]
 		c.receive(c.r.id.Name, c.r.id.Incarnation, msg)
 		c.settleMembers()
 	}
 }
 
-// settleMembers takes a change of the members into account, if there was one.
+// settleMembers handles a change of the members, if there was one.
 func (c *core) settleMembers() {
 	if c.members.TakeChanged() {
 		c.membersChanged()
 	}
 }
 
-// wake is called after a pause: the owners start again with the next tick, and
-// quiet, since others may have taken their pools over meanwhile.
-func (c *core) wake() {
-	c.r.opt.log.Warn("router_was_paused", "gap_ms", (c.now - c.lastRun).Milliseconds())
+// handlePause drops the owned pools after a pause, because other routers may
+// have taken them over. The next tick assigns the pools again.
+func (c *core) handlePause() {
+	c.r.opt.log.Warn("router_was_paused", "gap_ms", (c.now - c.lastStep).Milliseconds())
 	c.sendAll(c.members.Step(c.now, member.Resumed{}))
 	c.keys.RecordPause(c.now)
 	for _, p := range wire.SortedPools(c.owners) {
 		c.dropOwner(p)
 	}
-	c.ownersAt = c.now
+	c.resumeOwnersAt = c.now
 	c.r.count("router_pauses")
 }
 
@@ -129,7 +131,7 @@
 		return
 	}
 	if to == c.r.id.Name {
-		c.local = append(c.local, msg)
+		c.localMessages = append(c.localMessages, msg)
 		return
 	}
 	c.r.net.Send(to, msg)
@@ -141,9 +143,9 @@
 	}
 }
 
-type ticked struct{}
+type tickEvent struct{}
 
-func (ticked) apply(c *core) {
+func (tickEvent) apply(c *core) {
 	if c.table != nil {
 		c.sendAll(c.members.Step(c.now, member.Tick{}))
 	}
@@ -153,14 +155,14 @@
 		tokens[id] = n.Load()
 	}
 	c.runHolder(hold.Tick{Tokens: tokens})
-	if c.ownersAt > 0 && c.now >= c.ownersAt {
-		c.ownersAt = 0
-		c.reown()
+	if c.resumeOwnersAt > 0 && c.now >= c.resumeOwnersAt {
+		c.resumeOwnersAt = 0
+		c.assignOwners()
 	}
 	c.eachOwner(func(wire.Pool) pool.Event { return pool.Tick{} })
 	for _, o := range c.owners {
 		if o.HasStaleLeases() {
-			c.readSoon()
+			c.readLoadsSoon()
 			break
 		}
 	}
@@ -169,21 +171,21 @@
 	c.snapshotIfDue()
 }
 
-// runHolder steps the holder and does what it says.
+// runHolder steps the holder and executes its actions.
 func (c *core) runHolder(ev hold.Event) {
 	for _, a := range c.holder.Step(c.now, ev) {
 		switch a := a.(type) {
 		case hold.Start:
-			c.begin(a)
+			c.startRequest(a)
 		case hold.Refuse:
-			c.reply(a.ID, acquired{err: a.Err})
+			c.reply(a.ID, acquireResult{err: a.Err})
 		case hold.Send:
 			c.send(a.To, a.Msg)
 		}
 	}
 }
 
-// eachOwner gives every owned pool an event, in the pools' order.
+// eachOwner steps all owners in the order of their pools.
 func (c *core) eachOwner(event func(wire.Pool) pool.Event) {
 	for _, p := range wire.SortedPools(c.owners) {
 		c.runOwner(c.owners[p], event(p))
@@ -206,7 +208,7 @@
 		case tablesync.Send:
 			c.send(a.To, a.Msg)
 		case tablesync.Activate:
-			c.inForce(a.Table)
+			c.activateTable(a.Table)
 		case tablesync.Rejected:
 			c.r.opt.log.Error("table_refused", "revision", a.Revision, "error", a.Err)
 			c.r.count("table_refused")
@@ -218,14 +220,14 @@
 	}
 }
 
-func (c *core) inForce(t *table.Table) {
+func (c *core) activateTable(t *table.Table) {
 	old := uint64(0)
 	first := c.table == nil
 	if !first {
 		old = c.table.Revision
 	}
 	c.table = t
-	c.tableAt = c.now
+	c.tableSince = c.now
 	c.r.snapshot.table.Store(t)
 	c.r.opt.log.Info("table_in_force", "revision", t.Revision, "before", old, "accounts", len(t.Accounts), "backends", len(t.Backends))
 	for _, ob := range c.r.opt.observers {
@@ -248,9 +250,9 @@
 	if l.Refused {
 		c.sendAll(c.members.Step(c.now, member.ConnectionRefused{Peer: l.Peer}))
 		c.runSync(tablesync.Unreachable{Peer: l.Peer})
-		for p, n := range c.named {
+		for p, n := range c.ownerHints {
 			if n.owner == l.Peer {
-				delete(c.named, p)
+				delete(c.ownerHints, p)
 			}
 		}
 	}
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -14,7 +14,8 @@
 	}
 	c.draining = true
 	c.r.opt.log.Info("router_draining")
-	// First the pools go, then the leases: an owner would grant them again.
+	// Hand over the pools before returning leases: an owner here would grant
+	// them again.
 	c.sendAll(c.members.Step(c.now, member.Leave{}))
 	c.settleMembers()
 	c.runHolder(hold.Drain{})
--- a/internal/router/feed.go
+++ b/internal/router/feed.go
@@ -14,14 +14,15 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// TableName is the platform's name of the table's value.
+// TableName is the name of the table's value on the platform.
 const TableName = "table"
 
-// notReaderPause is how often a router that reads nothing looks whether it
-// has become a reader.
-const notReaderPause = 100 * time.Millisecond
+// readerCheckInterval is how often a router that is not a reader checks whether
+// it has become one.
+const readerCheckInterval = 100 * time.Millisecond
 
-// newBackoff spreads the retries of all routers after an outage.
+// newBackoff returns a randomized backoff, so that routers do not retry in
+// lockstep after an outage.
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = 200 * time.Millisecond
@@ -30,7 +31,7 @@
 	return b
 }
 
-// pause waits; it reports false if the router ends meanwhile.
+// pause waits for d. It reports false if the router is closed meanwhile.
 func (r *Router) pause(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -42,9 +43,9 @@
 	}
 }
 
-// follow calls read again and again with the greatest revision read so far.
-// It pauses after an error, and after an older revision, which a stale
-// platform gives at once.
+// follow calls read repeatedly with the greatest revision read so far. It backs
+// off after an error and after an older revision, which a stale platform
+// returns without delay.
 func (r *Router) follow(read func(after uint64) (revision uint64, err error)) {
 	wait := newBackoff()
 	after := uint64(0)
@@ -64,11 +65,11 @@
 	}
 }
 
-// watchInstances is the task that follows the platform's list.
+// watchInstances follows the platform's list of instances.
 func (r *Router) watchInstances() {
 	r.follow(func(after uint64) (uint64, error) {
-		list, news, err := r.platform.WatchInstances(r.ctx, after)
-		if err != nil || !news {
+		list, changed, err := r.platform.WatchInstances(r.ctx, after)
+		if err != nil || !changed {
 			return after, err
 		}
 		if list.Revision > after {
@@ -85,16 +86,16 @@
 	c.instancesChanged()
 }
 
-// watchTable is the task that reads the table while this router is a reader.
+// watchTable follows the table while this router is a reader.
 func (r *Router) watchTable() {
-	pages := newPages(r.platform)
+	pages := newPageReader(r.platform)
 	r.follow(func(after uint64) (uint64, error) {
 		if !r.snapshot.reader.Load() {
-			r.pause(notReaderPause + rand.N(notReaderPause))
+			r.pause(readerCheckInterval + rand.N(readerCheckInterval))
 			return after, nil
 		}
-		v, news, err := r.platform.Watch(r.ctx, TableName, after)
-		if err != nil || !news {
+		v, changed, err := r.platform.Watch(r.ctx, TableName, after)
+		if err != nil || !changed {
 			return after, err
 		}
 		if v.Revision <= after {
@@ -113,17 +114,17 @@
 
 func (e tableRead) apply(c *core) { c.runSync(e.PlatformValue) }
 
-// loadFeed is the task that reads one backend server's load.
+// loadFeed reads the load of one backend server periodically.
 type loadFeed struct {
 	cancel context.CancelFunc
-	// soon asks for a reading before the next regular one.
+	// soon requests an early reading.
 	soon chan struct{}
 }
 
-// readSoon asks the readers of the owned pools for the loads as they will be
-// when a backend server has noticed that a router is gone.
-func (c *core) readSoon() {
-	for _, f := range c.feeds {
+// readLoadsSoon requests early readings for the owned pools, after the time
+// that a backend server needs to notice the disconnection of a router.
+func (c *core) readLoadsSoon() {
+	for _, f := range c.loadFeeds {
 		select {
 		case f.soon <- struct{}{}:
 		default:
@@ -131,22 +132,22 @@
 	}
 }
 
-// feedLoads starts and ends load readers so that there is one for each
+// updateLoadFeeds starts and stops load feeds so that there is one for each
 // backend server of the owned pools.
-func (c *core) feedLoads() {
+func (c *core) updateLoadFeeds() {
 	wanted := map[string]bool{}
 	for p := range c.owners {
 		for _, b := range c.pools[p] {
 			wanted[b.Name] = true
-			if _, ok := c.feeds[b.Name]; !ok {
-				c.feeds[b.Name] = c.r.feedLoad(b)
+			if _, ok := c.loadFeeds[b.Name]; !ok {
+				c.loadFeeds[b.Name] = c.r.feedLoad(b)
 			}
 		}
 	}
-	for name, f := range c.feeds {
+	for name, f := range c.loadFeeds {
 		if !wanted[name] {
 			f.cancel()
-			delete(c.feeds, name)
+			delete(c.loadFeeds, name)
 		}
 	}
 }
@@ -162,8 +163,8 @@
 	return f
 }
 
-// soonAfter is a little more than pool.LoadLag, after which a reading counts.
-const soonAfter = pool.LoadLag + 50*time.Millisecond
+// earlyReadDelay exceeds pool.LoadLag, so that the owner trusts the reading.
+const earlyReadDelay = pool.LoadLag + 50*time.Millisecond
 
 func (r *Router) readLoads(ctx context.Context, b table.Backend, soon <-chan struct{}) {
 	for ctx.Err() == nil {
@@ -175,7 +176,7 @@
 		select {
 		case <-time.After(DefaultLoadInterval):
 		case <-soon:
-			if !r.pause(soonAfter) {
+			if !r.pause(earlyReadDelay) {
 				return
 			}
 		case <-ctx.Done():
--- a/internal/router/owner.go
+++ b/internal/router/owner.go
@@ -14,12 +14,12 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// serversPerShard is how many backend servers one owner looks after at most;
-// a larger pool is split, so that no owner's messages grow with the pool.
+// serversPerShard is the maximum number of backend servers per owner. Larger
+// pools are split into shards to limit the message rate of an owner.
 const serversPerShard = 8
 
-// Pools divides the table's backend servers into pools. A server belongs to
-// the pool of its first model.
+// Pools divides the table's backend servers into pools. A server belongs to the
+// pool of its first model.
 func Pools(t *table.Table) map[wire.Pool][]table.Backend {
 	type group struct{ model, zone string }
 	groups := map[group][]table.Backend{}
@@ -39,10 +39,10 @@
 	return pools
 }
 
-// tableChanged takes a new table to everyone who decides by it.
+// tableChanged applies a new table to the holder and the owners.
 func (c *core) tableChanged() {
 	c.pools = Pools(c.table)
-	c.noteMarks()
+	c.trackMarks()
 	closed := map[string]bool{}
 	for _, b := range c.table.Backends {
 		if !c.table.AcceptsRequests(&b) {
@@ -50,7 +50,7 @@
 		}
 	}
 	c.runHolder(hold.BackendsClosed{Backends: closed})
-	c.reown()
+	c.assignOwners()
 	weights := c.weights()
 	c.eachOwner(func(p wire.Pool) pool.Event { return pool.Servers{List: poolServers(c.table, c.pools[p])} })
 	c.eachOwner(func(wire.Pool) pool.Event { return pool.Weights{Of: weights} })
@@ -59,15 +59,15 @@
 	c.runHolder(hold.LimitedAccounts{Accounts: limitedNames(limits)})
 }
 
-// marks gives the event of the chart that each mark stands for.
+// marks maps each mark to its event in the state chart.
 var marks = map[table.Mark]chart.Event{
 	table.Serving: "serve", table.Leaving: "leave", table.Stopping: "stop", table.Joining: "join",
 }
 
-// noteMarks follows each backend server along its chart and logs every change
-// of its mark. A change that the chart lacks, such as back to joining, is
-// obeyed, since another router may know no former mark, but is a warning.
-func (c *core) noteMarks() {
+// trackMarks logs every change of a backend server's mark. A change that the
+// state chart does not allow takes effect too, because another router may not
+// know the former mark, but it is logged as a warning.
+func (c *core) trackMarks() {
 	now := make(map[string]chart.State, len(c.table.Backends))
 	for _, b := range c.table.Backends {
 		was, known := c.marks[b.Name]
@@ -105,7 +105,7 @@
 	return w
 }
 
-// limits returns the accounts that have a limit over the whole fleet.
+// limits returns the accounts with fleet-wide limits.
 func (c *core) limits() map[string]pool.Limit {
 	limits := map[string]pool.Limit{}
 	for _, a := range c.table.Accounts {
@@ -125,31 +125,31 @@
 	return names
 }
 
-// membersChanged takes a change of the zone's live routers to everyone.
+// membersChanged applies a change of the zone's live routers.
 func (c *core) membersChanged() {
 	live := c.members.Live()
 	c.r.opt.log.Info("members", "live", len(live))
 	c.runSync(tablesync.LiveRouters{Names: live})
-	c.reown()
+	c.assignOwners()
 	c.eachOwner(func(wire.Pool) pool.Event { return c.zoneHolders() })
-	c.readSoon()
+	c.readLoadsSoon()
 }
 
-// ownerOf returns the owner of a pool as this router sees it: by the live
-// routers in the own zone, and by the platform's list elsewhere, unless a
-// router of that zone said otherwise lately.
+// ownerOf returns the owner of a pool as this router sees it. In its own zone
+// the live routers decide, in other zones the platform's list, unless a router
+// of that zone recently named another owner.
 func (c *core) ownerOf(p wire.Pool) hold.PoolOwner {
 	if p.Zone == c.r.id.Zone {
 		o := rendezvous.Owner(p.String(), c.members.Live())
 		return hold.PoolOwner{Pool: p, Owner: o, Incarnation: c.members.Incarnation(o)}
 	}
-	if n, ok := c.named[p]; ok && c.now-n.at < namedFor {
-		return hold.PoolOwner{Pool: p, Owner: n.owner, Incarnation: n.inc}
+	if n, ok := c.ownerHints[p]; ok && c.now-n.at < ownerHintTTL {
+		return hold.PoolOwner{Pool: p, Owner: n.owner, Incarnation: n.incarnation}
 	}
 	return hold.PoolOwner{Pool: p, Owner: rendezvous.Owner(p.String(), c.listed(p.Zone))}
 }
 
-// listed returns the live routers of a zone by the platform's list.
+// listed returns the live routers of a zone according to the platform's list.
 func (c *core) listed(zone string) []string {
 	var names []string
 	for _, i := range c.instances {
@@ -160,7 +160,7 @@
 	return names
 }
 
-// allListed returns every router of a zone by the platform's list, sorted.
+// allListed returns all routers of a zone on the platform's list, sorted.
 func (c *core) allListed(zone string) []string {
 	var names []string
 	for _, i := range c.instances {
@@ -172,38 +172,39 @@
 	return names
 }
 
-// reown finds anew who owns which pool and tells the holder and the owners.
-func (c *core) reown() {
+// assignOwners recomputes the owners of all pools and passes them to the holder
+// and the owners here.
+func (c *core) assignOwners() {
 	if c.table == nil {
 		return
 	}
-	lenders := make(map[wire.Pool]hold.PoolOwner, len(c.pools))
+	poolOwners := make(map[wire.Pool]hold.PoolOwner, len(c.pools))
 	for p := range c.pools {
-		lenders[p] = c.ownerOf(p)
+		poolOwners[p] = c.ownerOf(p)
 	}
-	if c.ownersAt == 0 {
-		c.takeOwnership(lenders)
+	if c.resumeOwnersAt == 0 {
+		c.takeOwnership(poolOwners)
 	}
-	c.runHolder(hold.PoolOwners{Zone: c.r.id.Zone, Of: lenders})
-	c.runHolder(hold.ModelOwners{Of: c.homes(lenders)})
-	c.eachOwner(func(p wire.Pool) pool.Event { return pool.Siblings{Nodes: siblings(p, lenders)} })
+	c.runHolder(hold.PoolOwners{Zone: c.r.id.Zone, Of: poolOwners})
+	c.runHolder(hold.ModelOwners{Of: c.modelOwners(poolOwners)})
+	c.eachOwner(func(p wire.Pool) pool.Event { return pool.Siblings{Nodes: siblings(p, poolOwners)} })
 }
 
-func (c *core) takeOwnership(lenders map[wire.Pool]hold.PoolOwner) {
-	for _, p := range wire.SortedPools(lenders) {
-		home := lenders[p]
+func (c *core) takeOwnership(poolOwners map[wire.Pool]hold.PoolOwner) {
+	for _, p := range wire.SortedPools(poolOwners) {
+		owner := poolOwners[p]
 		_, have := c.owners[p]
-		mine := home.Owner == c.r.id.Name && p.Zone == c.r.id.Zone
+		mine := owner.Owner == c.r.id.Name && p.Zone == c.r.id.Zone
 		if mine && !have {
 			c.newOwner(p)
 		}
 		if !mine && have {
-			c.handOver(p, home.Owner)
+			c.handOver(p, owner.Owner)
 			c.dropOwner(p)
 		}
 	}
 	for _, p := range wire.SortedPools(c.owners) {
-		if _, ok := lenders[p]; !ok {
+		if _, ok := poolOwners[p]; !ok {
 			c.dropOwner(p)
 		}
 	}
@@ -217,10 +218,10 @@
 	c.runOwner(o, pool.Weights{Of: c.weights()})
 	c.runOwner(o, pool.Limits{Of: c.limits()})
 	c.runOwner(o, c.zoneHolders())
-	c.feedLoads()
+	c.updateLoadFeeds()
 }
 
-// handOver tells the next owner of a pool which leases are out.
+// handOver reports the granted leases of a pool to its next owner.
 func (c *core) handOver(p wire.Pool, to string) {
 	for _, r := range c.owners[p].HandOver() {
 		c.send(to, r)
@@ -234,47 +235,47 @@
 func (c *core) dropOwner(p wire.Pool) {
 	delete(c.owners, p)
 	c.r.opt.log.Info("pool_left", "pool", p.String())
-	c.feedLoads()
+	c.updateLoadFeeds()
 }
 
-// homes chooses for each model the owner that this router asks: of a pool in
-// its own zone if there is one, spread over the shards by its name.
-func (c *core) homes(lenders map[wire.Pool]hold.PoolOwner) map[string]hold.PoolOwner {
-	near := map[string][]string{}
-	far := map[string][]string{}
-	for p := range lenders {
+// modelOwners returns the owner that gets this router's demand for each model.
+// It prefers pools of its own zone and selects a shard by the router's name.
+func (c *core) modelOwners(poolOwners map[wire.Pool]hold.PoolOwner) map[string]hold.PoolOwner {
+	ownZone := map[string][]string{}
+	allZones := map[string][]string{}
+	for p := range poolOwners {
 		if p.Zone == c.r.id.Zone {
-			near[p.Model] = append(near[p.Model], p.String())
+			ownZone[p.Model] = append(ownZone[p.Model], p.String())
 		}
-		far[p.Model] = append(far[p.Model], p.String())
+		allZones[p.Model] = append(allZones[p.Model], p.String())
 	}
-	homes := make(map[string]hold.PoolOwner, len(far))
-	for model, all := range far {
-		from := near[model]
+	byModel := make(map[string]hold.PoolOwner, len(allZones))
+	for model, all := range allZones {
+		from := ownZone[model]
 		if len(from) == 0 {
 			from = all
 		}
 		sort.Strings(from)
 		p, err := wire.ParsePool(rendezvous.Owner(c.r.id.Name, from))
 		if err == nil {
-			homes[model] = lenders[p]
+			byModel[model] = poolOwners[p]
 		}
 	}
-	return homes
+	return byModel
 }
 
 // siblings returns the owners of the model's other pools.
-func siblings(p wire.Pool, lenders map[wire.Pool]hold.PoolOwner) map[wire.Pool]string {
+func siblings(p wire.Pool, poolOwners map[wire.Pool]hold.PoolOwner) map[wire.Pool]string {
 	nodes := map[wire.Pool]string{}
-	for q, home := range lenders {
-		if q.Model == p.Model && q != p && home.Owner != "" {
-			nodes[q] = home.Owner
+	for q, owner := range poolOwners {
+		if q.Model == p.Model && q != p && owner.Owner != "" {
+			nodes[q] = owner.Owner
 		}
 	}
 	return nodes
 }
 
-// instancesChanged takes the platform's list to those who decide by it.
+// instancesChanged applies a new list of instances from the platform.
 func (c *core) instancesChanged() {
 	var peers []member.Peer
 	addrs := map[string]string{}
@@ -291,17 +292,17 @@
 	c.keys.SetRouters(c.now, c.allListed(c.r.id.Zone))
 	if !c.started {
 		c.started = true
-		c.runSync(tablesync.Start{Peers: c.firstPeers(names)})
+		c.runSync(tablesync.Start{Peers: c.startupPeers(names)})
 		c.runSync(tablesync.LiveRouters{Names: c.members.Expected()})
 	}
-	c.reown()
+	c.assignOwners()
 }
 
-// askedElsewhere is how many routers of other zones a router asks for the
-// table at its start, besides those of its own.
-const askedElsewhere = 3
+// remoteTablePeers is the number of routers in other zones that a starting
+// router asks for the table, in addition to those of its own zone.
+const remoteTablePeers = 3
 
-func (c *core) firstPeers(names []string) []string {
+func (c *core) startupPeers(names []string) []string {
 	var peers, others []string
 	zone := map[string]string{}
 	for _, i := range c.instances {
@@ -314,5 +315,5 @@
 			others = append(others, n)
 		}
 	}
-	return append(peers, rendezvous.Owners(c.r.id.Name, others, askedElsewhere)...)
+	return append(peers, rendezvous.Owners(c.r.id.Name, others, remoteTablePeers)...)
 }
--- a/internal/router/pages.go
+++ b/internal/router/pages.go
@@ -14,29 +14,30 @@
 	"github.com/yarrowmast/yarrowmast/pkg/tablesync"
 )
 
-// errPagesAhead says that a page was read that the index does not list yet.
-var errPagesAhead = errors.New("router: a page of the table is not at the revision that the index lists")
+// errPageMismatch is returned if a page has another revision than the index
+// lists, because page and index are not written atomically.
+var errPageMismatch = errors.New("router: a page of the table is not at the revision that the index lists")
 
-// pageIndex is the table's value where the table is split into pages: it
-// lists each page's value with its revision. The index's own revision is the
-// table's, so an edit is a new page and then a new index.
+// pageIndex is the table's value if the table is split into pages. It lists the
+// revision of each page's value. The index's own revision is that of the table:
+// an edit writes a page first and then the index.
 type pageIndex struct {
 	Pages map[string]uint64 `yaml:"pages"`
 }
 
-// pages reads tables and keeps the pages that did not change.
-type pages struct {
+// pageReader reads tables and caches the pages.
+type pageReader struct {
 	platform Platform
-	kept     map[string]platform.Value
+	cached   map[string]platform.Value
 }
 
-func newPages(p Platform) *pages {
-	return &pages{platform: p, kept: map[string]platform.Value{}}
+func newPageReader(p Platform) *pageReader {
+	return &pageReader{platform: p, cached: map[string]platform.Value{}}
 }
 
-// read turns the table's value into a table. It fails only if a page could
-// not be read as listed; a table with errors is a tableRead that says so.
-func (p *pages) read(ctx context.Context, v platform.Value) (tableRead, error) {
+// read parses the table's value. It returns an error only if a page cannot be
+// read at the listed revision; an invalid table is a tableRead with Err.
+func (r *pageReader) read(ctx context.Context, v platform.Value) (tableRead, error) {
 	var index pageIndex
 	if err := yaml.Unmarshal(v.Data, &index); err != nil || len(index.Pages) == 0 {
 		t, err := table.Parse(TableName, v.Data)
@@ -44,7 +45,7 @@
 	}
 	var list []table.Page
 	for _, name := range slices.Sorted(maps.Keys(index.Pages)) {
-		page, err := p.page(ctx, name, index.Pages[name])
+		page, err := r.page(ctx, name, index.Pages[name])
 		if err != nil {
 			return tableRead{}, err
 		}
@@ -54,17 +55,17 @@
 	return tableRead{tablesync.PlatformValue{Revision: v.Revision, Table: t, Err: err}}, nil
 }
 
-func (p *pages) page(ctx context.Context, name string, revision uint64) (platform.Value, error) {
-	if kept, ok := p.kept[name]; ok && kept.Revision == revision {
-		return kept, nil
+func (r *pageReader) page(ctx context.Context, name string, revision uint64) (platform.Value, error) {
+	if cached, ok := r.cached[name]; ok && cached.Revision == revision {
+		return cached, nil
 	}
-	v, ok, err := p.platform.Watch(ctx, name, 0)
+	v, ok, err := r.platform.Watch(ctx, name, 0)
 	if err != nil {
 		return platform.Value{}, err
 	}
 	if !ok || v.Revision != revision {
-		return platform.Value{}, fmt.Errorf("%w: %s is at %d, not %d", errPagesAhead, name, v.Revision, revision)
+		return platform.Value{}, fmt.Errorf("%w: %s is at %d, not %d", errPageMismatch, name, v.Revision, revision)
 	}
-	p.kept[name] = v
+	r.cached[name] = v
 	return v, nil
 }
--- a/internal/router/pages_test.go
+++ b/internal/router/pages_test.go
@@ -10,7 +10,7 @@
 	"github.com/yarrowmast/yarrowmast/internal/platform"
 )
 
-// valuesOnly is a platform that holds values and counts the reads of each.
+// valuesOnly is a platform that stores values and counts the reads of each.
 type valuesOnly struct {
 	values map[string]platform.Value
 	reads  map[string]int
@@ -30,12 +30,12 @@
 	return fmt.Appendf(nil, "accounts: [{name: %s, weight: 1, key_sha256: %q}]", name, fmt.Sprintf("%064x", n))
 }
 
-func TestPagesOfTheTable(t *testing.T) {
+func TestTablePages(t *testing.T) {
 	p := &valuesOnly{reads: map[string]int{}, values: map[string]platform.Value{
 		"one": {Revision: 4, Data: account("moka", 1)},
 		"two": {Revision: 7, Data: account("savanne", 2)},
 	}}
-	pages := newPages(p)
+	pages := newPageReader(p)
 	index := func(rev, one, two uint64) platform.Value {
 		return platform.Value{Revision: rev, Data: fmt.Appendf(nil, "pages: {one: %d, two: %d}", one, two)}
 	}
@@ -50,7 +50,7 @@
 	if p.reads["one"] != 1 || p.reads["two"] != 2 {
 		t.Errorf("reads %v: a page that did not change was read again", p.reads)
 	}
-	if _, err = pages.read(context.Background(), index(12, 4, 9)); !errors.Is(err, errPagesAhead) {
+	if _, err = pages.read(context.Background(), index(12, 4, 9)); !errors.Is(err, errPageMismatch) {
 		t.Errorf("a page at another revision was taken: %v", err)
 	}
 	p.values["two"] = platform.Value{Revision: 9, Data: account("moka", 4)}
--- a/internal/router/random_test.go
+++ b/internal/router/random_test.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// chaos draws a session at random: two zones, three routers each, and faults
-// that overlap as they like.
-func chaos(t *rapid.T) *session {
+// randomSession draws a session with two zones of three routers each and with
+// overlapping faults.
+func randomSession(t *rapid.T) *session {
 	s := &session{
 		Zones: map[string]int{"a": 3, "b": 3},
 		Until: 20 * time.Second,
@@ -42,14 +42,14 @@
 	at := 2 * time.Second
 	for i := range n {
 		at += time.Duration(rapid.IntRange(0, 900).Draw(t, "gap")) * time.Millisecond
-		s.Steps = append(s.Steps, chaosStep(t, at, i)...)
+		s.Steps = append(s.Steps, randomSteps(t, at, i)...)
 	}
 	return s
 }
 
-func chaosStep(t *rapid.T, at time.Duration, i int) []sessionStep {
+func randomSteps(t *rapid.T, at time.Duration, i int) []sessionStep {
 	router := rapid.SampledFrom([]string{"a-0", "a-1", "a-2", "b-0", "b-1", "b-2"}).Draw(t, "router")
-	lasts := at + time.Duration(rapid.IntRange(200, 5000).Draw(t, "lasts"))*time.Millisecond
+	end := at + time.Duration(rapid.IntRange(200, 5000).Draw(t, "lasts"))*time.Millisecond
 	server := rapid.SampledFrom([]string{"a-form-0", "b-form-1"}).Draw(t, "server")
 	switch rapid.SampledFrom([]string{"request", "request", "request", "keyed", "cut", "pause", "restart", "mark", "edit", "stale"}).Draw(t, "kind") {
 	case "keyed":
@@ -57,18 +57,18 @@
 		return []sessionStep{{At: at, Do: "request", On: router, Who: "moka", Model: "form", Tokens: 40, Key: key}}
 	case "cut":
 		where := rapid.SampledFrom([]string{"a", "b", router, "platform"}).Draw(t, "where")
-		return []sessionStep{{At: at, Do: "cut", On: where}, {At: lasts, Do: "join", On: where}}
+		return []sessionStep{{At: at, Do: "cut", On: where}, {At: end, Do: "join", On: where}}
 	case "pause":
-		return []sessionStep{{At: at, Do: "pause", On: router}, {At: lasts, Do: "wake", On: router}}
+		return []sessionStep{{At: at, Do: "pause", On: router}, {At: end, Do: "wake", On: router}}
 	case "restart":
-		return []sessionStep{{At: at, Do: "stop", On: router}, {At: lasts, Do: "start", On: router}}
+		return []sessionStep{{At: at, Do: "stop", On: router}, {At: end, Do: "start", On: router}}
 	case "mark":
 		mark := rapid.SampledFrom([]table.Mark{table.Leaving, table.Stopping}).Draw(t, "mark")
-		return []sessionStep{{At: at, Do: "mark", On: server, Mark: mark}, {At: lasts, Do: "mark", On: server, Mark: table.Serving}}
+		return []sessionStep{{At: at, Do: "mark", On: server, Mark: mark}, {At: end, Do: "mark", On: server, Mark: table.Serving}}
 	case "edit":
 		return []sessionStep{{At: at, Do: "edit"}}
 	case "stale":
-		return []sessionStep{{At: at, Do: "stale"}, {At: lasts, Do: "fresh"}}
+		return []sessionStep{{At: at, Do: "stale"}, {At: end, Do: "fresh"}}
 	default:
 		return []sessionStep{{
 			At: at, Do: "request", On: router, Who: rapid.SampledFrom([]string{"moka", "savanne"}).Draw(t, "who"), Model: "form",
@@ -77,14 +77,14 @@
 	}
 }
 
-// TestRandomSessions asserts the invariants after every step of sessions
-// drawn at random. A failure prints the seed and a session made smaller.
+// TestRandomSessions guards against violated invariants under random faults. A
+// failure prints the seed and a minimized session.
 func TestRandomSessions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := chaos(t)
+		s := randomSession(t)
 		w := s.play()
-		if len(w.broken) > 0 {
-			t.Fatalf("%s\n%s", w.broken[0], w.summary())
+		if len(w.violations) > 0 {
+			t.Fatalf("%s\n%s", w.violations[0], w.summary())
 		}
 	})
 }
--- a/internal/router/receive.go
+++ b/internal/router/receive.go
@@ -8,13 +8,13 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// receive hands one message to the core that it is for.
+// receive dispatches a message from a peer.
 func (c *core) receive(from string, inc uint64, msg any) {
 	switch m := msg.(type) {
 	case *wire.Probe:
 		if c.table == nil {
-			// Without a table this router can own nothing, so it is not yet
-			// a member for others.
+			// A router without a table cannot own pools, so it does not answer
+			// probes.
 			return
 		}
 		c.sendAll(c.members.Step(c.now, member.Probe{From: from, Msg: m}))
@@ -29,11 +29,11 @@
 	case *wire.TableDelta:
 		c.runSync(tablesync.Delta{From: from, Msg: m})
 	case *wire.Demand:
-		c.toOwner(from, m.Pool, pool.Demand{From: from, Msg: m}, true)
+		c.deliverToOwner(from, m.Pool, pool.Demand{From: from, Msg: m}, true)
 	case *wire.Return:
 		c.receiveReturn(from, m)
 	case *wire.Report:
-		c.toOwner(from, m.Pool, pool.Report{From: from, Msg: m}, !m.Adopt)
+		c.deliverToOwner(from, m.Pool, pool.Report{From: from, Msg: m}, !m.Adopt)
 	case *wire.Share:
 		c.receiveShare(from, inc, m)
 	case *wire.Grant:
@@ -49,11 +49,11 @@
 	}
 }
 
-// receiveReturn passes leases on that come back to a former owner, which has
-// told its successor of them.
+// receiveReturn forwards leases that were returned to this router after it lost
+// the pool, since it reported them to the new owner.
 func (c *core) receiveReturn(from string, m *wire.Return) {
 	if _, mine := c.owners[m.Pool]; mine {
-		c.toOwner(from, m.Pool, pool.Return{From: from, Msg: m}, false)
+		c.deliverToOwner(from, m.Pool, pool.Return{From: from, Msg: m}, false)
 		return
 	}
 	next := c.ownerOf(m.Pool).Owner
@@ -62,24 +62,24 @@
 	}
 }
 
-// toOwner gives an event to the owner of a pool, if this router is it. Who
-// asks or reports to a router that is not the owner is told who is: a router
-// of another zone would not learn it otherwise, and the new owner would not
-// know what runs there.
-func (c *core) toOwner(from string, p wire.Pool, ev pool.Event, tell bool) {
+// deliverToOwner passes an event to the owner of a pool if that is this router.
+// Otherwise, if notifySender is set, it sends the name of the owner to the sender. A
+// router of another zone could not learn it in another way, and the new owner
+// needs the reports.
+func (c *core) deliverToOwner(from string, p wire.Pool, ev pool.Event, notifySender bool) {
 	if o, ok := c.owners[p]; ok {
 		c.runOwner(o, ev)
 		return
 	}
-	if tell && p.Zone == c.r.id.Zone && from != c.r.id.Name {
+	if notifySender && p.Zone == c.r.id.Zone && from != c.r.id.Name {
 		c.send(from, &wire.NotOwner{Pool: p, Owner: c.ownerOf(p).Owner})
 	}
 }
 
 func (c *core) receiveShare(from string, inc uint64, m *wire.Share) {
 	c.runSync(tablesync.Revision{From: from, Revision: m.Table})
-	c.nameOwner(m.From, from, inc)
-	c.toOwner(from, m.To, pool.Share{From: from, Msg: m}, true)
+	c.recordOwner(m.From, from, inc)
+	c.deliverToOwner(from, m.To, pool.Share{From: from, Msg: m}, true)
 }
 
 func (c *core) receiveGrant(from string, m *wire.Grant) {
@@ -98,29 +98,28 @@
 	c.send(m.Source.Owner, back)
 }
 
-// receiveNotOwner turns to the owner that a router of the pool's own zone
-// names.
+// receiveNotOwner switches to the owner that a router of the pool's zone names.
 func (c *core) receiveNotOwner(from string, m *wire.NotOwner) {
 	if m.Pool.Zone == c.r.id.Zone || m.Owner == "" {
 		return
 	}
 	if c.ownerOf(m.Pool).Owner == from {
-		c.nameOwner(m.Pool, m.Owner, 0)
+		c.recordOwner(m.Pool, m.Owner, 0)
 	}
 	c.runHolder(hold.OwnerMoved{Pool: m.Pool, From: from, To: m.Owner})
 }
 
-// nameOwner notes who a peer says owns a pool of another zone.
-func (c *core) nameOwner(p wire.Pool, owner string, inc uint64) {
+// recordOwner records the owner of another zone's pool according to a peer.
+func (c *core) recordOwner(p wire.Pool, owner string, inc uint64) {
 	if p.Zone == c.r.id.Zone {
 		return
 	}
-	old := c.named[p]
+	old := c.ownerHints[p]
 	if old.owner == owner && inc == 0 {
-		inc = old.inc
+		inc = old.incarnation
 	}
-	c.named[p] = naming{owner: owner, inc: inc, at: c.now}
-	if old.owner != owner || old.inc != inc {
-		c.reown()
+	c.ownerHints[p] = ownerHint{owner: owner, incarnation: inc, at: c.now}
+	if old.owner != owner || old.incarnation != inc {
+		c.assignOwners()
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,6 +1,5 @@
-// Package router joins the pure cores (members, table, holder, owners) with
-// the tasks around them. One task owns all of the cores; everything else
-// talks to it by messages.
+// Package router runs the state machines for membership, table, leases and
+// pools. One goroutine owns their state; others communicate with it by events.
 package router
 
 import (
@@ -20,18 +19,18 @@
 
 // The defaults.
 const (
-	// TickInterval is the interval of the core's own clock.
+	// TickInterval is the interval between ticks of the core.
 	TickInterval = 50 * time.Millisecond
-	// awayAfter is a gap between two ticks that means the process was
-	// paused: what it believed before may be long out of date.
-	awayAfter = time.Second
-	// DefaultLoadInterval is the interval at which an owner reads a backend
-	// server's load.
+	// pauseThreshold is the gap between two events that counts as a pause of
+	// the process, after which the core's state may be out of date.
+	pauseThreshold = time.Second
+	// DefaultLoadInterval is the interval at which an owner reads the load of a
+	// backend server.
 	DefaultLoadInterval = time.Second
 	inboxSize           = 8192
 )
 
-// Platform is what the router reads of the platform.
+// Platform reads values and the list of instances from the platform.
 type Platform interface {
 	Watch(ctx context.Context, name string, after uint64) (platform.Value, bool, error)
 	WatchInstances(ctx context.Context, after uint64) (platform.Instances, bool, error)
@@ -39,11 +38,11 @@
 
 // LoadReader reads the load of backend servers.
 type LoadReader interface {
-	// Load returns how many requests run there.
+	// Load returns the number of requests that run on the backend server.
 	Load(ctx context.Context, b table.Backend) (int, error)
 }
 
-// Transport carries messages to peers.
+// Transport sends and receives messages between routers.
 type Transport interface {
 	Send(to string, msg any)
 	Inbox() <-chan peer.Inbound
@@ -51,17 +50,17 @@
 	SetAddresses(addrs map[string]string)
 }
 
-// Identity is who a router is.
+// Identity identifies a router.
 type Identity struct {
 	// Name is unique in the fleet.
 	Name string
 	// Zone is the availability zone.
 	Zone string
-	// Incarnation is the incarnation: the wall time of the start in nanoseconds.
+	// Incarnation is the wall time of the start in nanoseconds.
 	Incarnation uint64
 }
 
-// Router is one router's scheduler.
+// Router is the scheduler of one router.
 type Router struct {
 	id       Identity
 	opt      options
@@ -74,10 +73,10 @@
 	cancel   context.CancelFunc
 	tasks    sync.WaitGroup
 	snapshot snapshot
-	// pauseMu is held to freeze the core; only tests and measurements do.
+	// pauseMu pauses the core while held; see PauseLoop.
 	pauseMu sync.Mutex
-	// busy is the time spent in the core, in nanoseconds.
-	busy atomic.Int64
+	// coreTime is the time spent in the core, in nanoseconds.
+	coreTime atomic.Int64
 }
 
 type options struct {
@@ -88,33 +87,33 @@
 	observers []Observer
 }
 
-// Observer is told of what the router decides. It must not block.
+// Observer gets notifications of the router's decisions. It must not block.
 type Observer interface {
-	// TableInForce is called when a version comes into force.
+	// TableInForce is called when a table revision comes into force.
 	TableInForce(revision uint64)
 }
 
-// Option changes a new Router.
+// Option configures a new Router.
 type Option func(*options)
 
-// WithLogger sets where events are logged.
+// WithLogger sets the logger.
 func WithLogger(l *slog.Logger) Option { return func(o *options) { o.log = l } }
 
-// WithPool passes options on to the owners of pools.
+// WithPool sets options for the owners of pools.
 func WithPool(opts ...pool.Option) Option { return func(o *options) { o.pool = opts } }
 
-// WithHold passes options on to the holder.
+// WithHold sets options for the holder.
 func WithHold(opts ...hold.Option) Option { return func(o *options) { o.hold = opts } }
 
 // WithClock replaces the router's clock, for tests.
 func WithClock(clock func() time.Duration) Option { return func(o *options) { o.clock = clock } }
 
-// WithObserver adds one who is told of decisions.
+// WithObserver adds an observer.
 func WithObserver(ob Observer) Option {
 	return func(o *options) { o.observers = append(o.observers, ob) }
 }
 
-// New returns a router that Run starts.
+// New returns a router. Start starts it.
 func New(id Identity, n Transport, p Platform, loads LoadReader, opts ...Option) *Router {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Router{
@@ -130,7 +129,7 @@
 	return r
 }
 
-// Start starts the router's tasks.
+// Start starts the router's goroutines.
 func (r *Router) Start() {
 	c := newCore(r)
 	r.tasks.Add(3)
@@ -148,14 +147,14 @@
 	}()
 }
 
-// Close ends the router's tasks at once.
+// Close stops the router's goroutines and waits for them.
 func (r *Router) Close() {
 	r.cancel()
 	r.tasks.Wait()
 }
 
-// now is the router's clock: the wall time of its start, run on by the
-// monotonic clock. It never goes back and is unique to this start.
+// now returns the time on the router's clock: the wall time of the start,
+// advanced by the monotonic clock.
 func (r *Router) now() time.Duration {
 	if r.opt.clock != nil {
 		return r.opt.clock()
@@ -163,7 +162,7 @@
 	return time.Duration(r.started.UnixNano()) + clock.System().Since(r.started)
 }
 
-// run is the task that owns the core.
+// run is the event loop that owns the core.
 func (r *Router) run(c *core) {
 	tick := time.NewTicker(TickInterval)
 	defer tick.Stop()
@@ -178,7 +177,7 @@
 		case l := <-r.net.Losses():
 			r.step(c, lost{l})
 		case <-tick.C:
-			r.step(c, ticked{})
+			r.step(c, tickEvent{})
 		}
 	}
 }
@@ -186,19 +185,19 @@
 func (r *Router) step(c *core, ev event) {
 	r.pauseMu.Lock()
 	defer r.pauseMu.Unlock()
-	begun := time.Now()
+	start := time.Now()
 	c.step(r.now(), ev)
-	r.busy.Add(int64(time.Since(begun)))
+	r.coreTime.Add(int64(time.Since(start)))
 }
 
-// PauseLoop stops the core until the returned function is called, as a paused
-// process would. It is for tests and measurements.
-func (r *Router) PauseLoop() (thaw func()) {
+// PauseLoop blocks the event loop until resume is called, to simulate a paused
+// process. It is for tests.
+func (r *Router) PauseLoop() (resume func()) {
 	r.pauseMu.Lock()
 	return r.pauseMu.Unlock
 }
 
-// post hands an event to the core, unless the router has ended.
+// post sends an event to the core. It reports false if the router is closed.
 func (r *Router) post(ev event) bool {
 	select {
 	case r.events <- ev:
@@ -208,5 +207,5 @@
 	}
 }
 
-// Busy returns the time that the core has spent on decisions.
-func (r *Router) Busy() time.Duration { return time.Duration(r.busy.Load()) }
+// Busy returns the total processing time of the core.
+func (r *Router) Busy() time.Duration { return time.Duration(r.coreTime.Load()) }
--- a/internal/router/session_test.go
+++ b/internal/router/session_test.go
@@ -15,7 +15,7 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// session is a whole session: what the world is and what happens when.
+// session is a scripted simulation: the initial state and timed steps.
 type session struct {
 	Shows    string         `yaml:"shows"`
 	Zones    map[string]int `yaml:"zones"`
@@ -25,8 +25,8 @@
 	Steps    []sessionStep `yaml:"steps"`
 }
 
-// sessionStep is one event: request, cut, join, pause, wake, stop, start,
-// stale, fresh, mark, edit or drain.
+// sessionStep is one step: request, cut, join, pause, wake, stop, start, stale,
+// fresh, mark, edit or drain.
 type sessionStep struct {
 	At     time.Duration `yaml:"at"`
 	Do     string        `yaml:"do"`
@@ -69,7 +69,7 @@
 	case "stale":
 		w.stale = true
 	case "fresh":
-		w.stale, w.shown = false, w.rev
+		w.stale, w.published = false, w.rev
 	case "mark":
 		w.mark(s.On, s.Mark)
 	case "edit":
@@ -81,7 +81,7 @@
 		panic("unknown step " + s.Do)
 	}
 	if s.Do != "request" {
-		w.note("-- %s %s%s", s.Do, s.On, s.Mark)
+		w.logf("-- %s %s%s", s.Do, s.On, s.Mark)
 	}
 }
 
@@ -109,15 +109,15 @@
 		s := w.servers[name]
 		fmt.Fprintf(&b, "%s: at most %d of %d slots in use, %d at the end\n", name, s.most, s.row.Slots, s.inFlight)
 	}
-	for _, x := range w.broken {
+	for _, x := range w.violations {
 		fmt.Fprintf(&b, "BROKEN %s\n", x)
 	}
 	return b.String()
 }
 
-// TestSessions plays each session in the testdata of dispatch and compares all that
-// the routers decided with its golden file here. Run with -update after
-// a change that is meant to change decisions, and read the difference.
+// TestSessions guards against unintended changes of the routers' decisions. It
+// compares each session in the testdata of dispatch with a golden file here.
+// Run with -update after an intended change and review the difference.
 func TestSessions(t *testing.T) {
 	files, err := filepath.Glob("../dispatch/testdata/sessions/*.yaml")
 	if err != nil || len(files) == 0 {
@@ -136,7 +136,7 @@
 				t.Fatal(err)
 			}
 			w := s.play()
-			for _, x := range w.broken {
+			for _, x := range w.violations {
 				t.Errorf("%s: %s", s.Shows, x)
 			}
 			g.Assert(t, name, []byte(w.summary()))
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -11,10 +11,10 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// statusEvery is the interval at which the status for operators is renewed.
-const statusEvery = 250 * time.Millisecond
+// statusInterval is the interval between updates of the status.
+const statusInterval = 250 * time.Millisecond
 
-// snapshot is what other tasks may read of the core.
+// snapshot is the state that other goroutines may read.
 type snapshot struct {
 	table  atomic.Pointer[table.Table]
 	reader atomic.Bool
@@ -24,46 +24,46 @@
 	counts map[string]int64
 }
 
-// Status is one router's state, for operators.
+// Status is the state of one router, for operators.
 type Status struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone"`
 	Incarnation uint64 `json:"incarnation"`
-	// Table is the revision in force, 0 before there is one.
+	// Table is the revision in force, 0 if there is none.
 	Table uint64 `json:"table"`
-	// RefusedTable is the newest refused edit, 0 if none; Refusal says why.
+	// RefusedTable is the newest rejected revision, 0 if there is none; Refusal
+	// is the reason.
 	RefusedTable uint64 `json:"refused_table,omitempty"`
 	Refusal      string `json:"refusal,omitempty"`
 	Reader       bool   `json:"table_reader"`
 	Draining     bool   `json:"draining"`
 	// Members is the zone as this router sees it.
 	Members []member.Status `json:"members"`
-	// Pools lists the owned pools, Accounts what their owner knows of each
-	// account, by pool.
+	// Pools lists the owned pools, Accounts the state of each account, by pool.
 	Pools    []string                        `json:"pools"`
 	Accounts map[string][]pool.AccountStatus `json:"accounts"`
-	// Owner counts what the owners of pools did here.
+	// Owner is the sum of the owned pools' counts.
 	Owner pool.Stats `json:"owner"`
-	// Waiting counts waiting requests by model and account.
+	// Waiting is the number of waiting requests, by model and account.
 	Waiting map[string]map[string]int `json:"waiting"`
-	// Backends is what is done on each backend server of the table.
+	// Backends is the use of each backend server of the table.
 	Backends map[string]BackendStatus `json:"backends"`
 	// TableAgeMillis is how long the table has been in force here.
 	TableAgeMillis int64 `json:"table_age_ms"`
-	// Leases and IdleLeases count what is held.
+	// Leases and IdleLeases are the numbers of held and of idle leases.
 	Leases     int `json:"leases"`
 	IdleLeases int `json:"idle_leases"`
-	// Counts are the router's counters by name.
+	// Counts contains the router's counters, by name.
 	Counts map[string]int64 `json:"counts"`
 }
 
-// BackendStatus is one backend server as one router uses it.
+// BackendStatus is one router's use of a backend server.
 type BackendStatus struct {
 	Mark    string `json:"mark"`
 	Running int    `json:"running"`
-	// OldestMillis is how long the oldest request has run.
+	// OldestMillis is the age of the oldest running request.
 	OldestMillis int64 `json:"oldest_ms"`
-	// Leases are held and not used.
+	// Leases is the number of held leases that no request uses.
 	Leases int `json:"leases"`
 }
 
@@ -101,7 +101,7 @@
 	return all
 }
 
-// Status returns the state as it was a moment ago.
+// Status returns the last published status.
 func (r *Router) Status() Status {
 	if s := r.snapshot.status.Load(); s != nil {
 		return *s
@@ -109,26 +109,27 @@
 	return Status{Name: r.id.Name, Zone: r.id.Zone, Incarnation: r.id.Incarnation}
 }
 
-// State is Status for the admin listener.
+// State returns the status for the admin listener.
 func (r *Router) State() any { return r.Status() }
 
-// Overloaded is false: these routers queue what they cannot do.
+// Overloaded returns false: this scheduler queues requests instead of refusing
+// them when it is overloaded.
 func (r *Router) Overloaded() bool { return false }
 
-// MayForward implements front.Scheduler: nothing is handed on.
+// MayForward implements front.Scheduler. Requests are never forwarded.
 func (r *Router) MayForward(front.Request) bool { return false }
 
-// Shedding implements front.Scheduler; it does not measure that.
+// Shedding implements front.Scheduler. This scheduler does not shed load.
 func (r *Router) Shedding() bool { return false }
 
 // Draining reports whether the router is stopping.
 func (r *Router) Draining() bool { return r.Status().Draining }
 
 func (c *core) snapshotIfDue() {
-	if c.now-c.snapped < statusEvery {
+	if c.now-c.lastSnapshot < statusInterval {
 		return
 	}
-	c.snapped = c.now
+	c.lastSnapshot = c.now
 	s := &Status{
 		Name: c.r.id.Name, Zone: c.r.id.Zone, Incarnation: c.r.id.Incarnation,
 		Table: c.sync.Revision(), Reader: c.sync.Reader(), Draining: c.draining,
@@ -140,7 +141,7 @@
 		s.Refusal = bad.Err.Error()
 	}
 	if c.table != nil {
-		s.TableAgeMillis = (c.now - c.tableAt).Milliseconds()
+		s.TableAgeMillis = (c.now - c.tableSince).Milliseconds()
 	}
 	s.Leases, s.IdleLeases = c.holder.Leases()
 	for p, o := range c.owners {
@@ -151,8 +152,8 @@
 	c.r.snapshot.status.Store(s)
 }
 
-// Drain makes the router leave: it owns nothing more, hands its leases back
-// and refuses what waits. What runs goes on.
+// Drain makes the router leave: it hands over its pools, returns its idle
+// leases and refuses the waiting requests. Running requests continue.
 func (r *Router) Drain() {
 	done := make(chan struct{})
 	if !r.post(drain{done}) {
@@ -164,7 +165,7 @@
 	}
 }
 
-// TotalWaiting returns how many requests wait.
+// TotalWaiting returns the number of waiting requests.
 func (s *Status) TotalWaiting() int {
 	n := 0
 	for _, accounts := range s.Waiting {
@@ -175,7 +176,7 @@
 	return n
 }
 
-// TotalRunning returns how many requests run.
+// TotalRunning returns the number of running requests.
 func (s *Status) TotalRunning() int {
 	n := 0
 	for _, b := range s.Backends {
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -20,32 +20,32 @@
 )
 
 // world runs the real core of several routers on a simulated clock, network,
-// platform and backend servers, in one goroutine and always in one order.
+// platform and backend servers, deterministically and in one goroutine.
 type world struct {
 	now     time.Duration
 	routers map[string]*simRouter
 	names   []string
-	// links are what is under way, by its moment and then by its order.
-	links   []delivery
-	order   uint64
-	cut     map[string]bool // a zone or a router that is cut off
-	paused  map[string]bool
-	servers map[string]*simServer
-	table   table.Table
-	rev     uint64
-	stale   bool
-	shown   uint64
-	past    map[uint64]table.Table
-	asks    map[string]*simAsk
-	log     []string
-	broken  []string
-	highest map[string]uint64
-	granted map[string]string // idempotency key to the request that may run
-	used    map[string]int64  // idempotency key to its first use
-	// faultAt is the last moment at which anything was cut, paused, down or
-	// stale: promises with a time count from there.
+	// links contains the messages in transit, sorted by time and then by order.
+	links          []delivery
+	order          uint64
+	cut            map[string]bool // a zone or a router that is cut off
+	paused         map[string]bool
+	servers        map[string]*simServer
+	table          table.Table
+	rev            uint64
+	stale          bool
+	published      uint64
+	revisions      map[uint64]table.Table
+	requests       map[string]*simRequest
+	log            []string
+	violations     []string
+	newestRevision map[string]uint64
+	granted        map[string]string // idempotency key to the request that may run
+	used           map[string]int64  // idempotency key to its first use
+	// faultAt is the last time at which anything was cut, paused, down or
+	// stale. Guarantees with a time limit count from there.
 	faultAt time.Duration
-	// splitAt is the last moment at which a router was cut off from its own
+	// splitAt is the last time at which a router was disconnected from its own
 	// zone, so that a pool could have two owners.
 	splitAt time.Duration
 }
@@ -84,14 +84,14 @@
 	enc *wire.Encoder
 }
 
-type simAsk struct {
+type simRequest struct {
 	id      string
 	router  string
 	req     front.Request
 	key     string
 	tokens  int64
-	answer  chan acquired
-	acq     *acquire
+	reply   chan acquireResult
+	acquire *acquire
 	claim   chan error
 	done    bool
 	started bool
@@ -112,8 +112,8 @@
 func newWorld(zones map[string]int, servers []table.Backend, accounts []table.Account) *world {
 	w := &world{
 		now: simStart, routers: map[string]*simRouter{}, cut: map[string]bool{}, paused: map[string]bool{},
-		servers: map[string]*simServer{}, past: map[uint64]table.Table{}, asks: map[string]*simAsk{},
-		highest: map[string]uint64{}, granted: map[string]string{}, used: map[string]int64{},
+		servers: map[string]*simServer{}, revisions: map[uint64]table.Table{}, requests: map[string]*simRequest{},
+		newestRevision: map[string]uint64{}, granted: map[string]string{}, used: map[string]int64{},
 	}
 	for i := range accounts {
 		sum := sha256.Sum256([]byte(accounts[i].Name))
@@ -148,13 +148,13 @@
 	return names
 }
 
-func (w *world) note(format string, args ...any) {
+func (w *world) logf(format string, args ...any) {
 	at := (w.now - simStart).Milliseconds()
 	w.log = append(w.log, fmt.Sprintf("%6d ms  %s", at, fmt.Sprintf(format, args...)))
 }
 
-func (w *world) fail(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("at %s: ", w.now-simStart)+fmt.Sprintf(format, args...))
+func (w *world) violation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("at %s: ", w.now-simStart)+fmt.Sprintf(format, args...))
 }
 
 func (w *world) publish() {
@@ -162,13 +162,13 @@
 	t := w.table
 	t.Backends = append([]table.Backend(nil), w.table.Backends...)
 	t.Accounts = append([]table.Account(nil), w.table.Accounts...)
-	w.past[w.rev] = t
+	w.revisions[w.rev] = t
 	if !w.stale {
-		w.shown = w.rev
+		w.published = w.rev
 	}
 }
 
-// start starts a router without memory, as a replaced instance.
+// start starts a router without state, as a new incarnation.
 func (w *world) start(name string) {
 	r := w.routers[name]
 	r.up = true
@@ -190,13 +190,13 @@
 	for _, n := range w.names {
 		w.breakLink(delivery{from: n, to: name, inc: w.routers[n].inc})
 	}
-	for _, id := range sortedNames(w.asks) {
-		a := w.asks[id]
+	for _, id := range sortedNames(w.requests) {
+		a := w.requests[id]
 		if a.router != name || a.done {
 			continue
 		}
 		a.done = true
-		w.note("%s: %s ends with its router", name, id)
+		w.logf("%s: %s ends with its router", name, id)
 		if a.started {
 			w.servers[a.server].inFlight--
 		}
@@ -211,7 +211,7 @@
 	return list
 }
 
-// noLoads reads no loads: the simulation feeds them itself.
+// noLoads reads no loads; the simulation injects them.
 type noLoads struct{}
 
 func (noLoads) Load(ctx context.Context, _ table.Backend) (int, error) {
@@ -219,7 +219,7 @@
 	return 0, ctx.Err()
 }
 
-// Send implements Net: the message goes through the real codec.
+// Send implements Transport. Messages pass through the real codec.
 func (r *simRouter) Send(to string, msg any) {
 	l, ok := r.out[to]
 	if !ok {
@@ -250,22 +250,22 @@
 
 // TableInForce implements Observer.
 func (r *simRouter) TableInForce(rev uint64) {
-	r.w.note("%s: table %d in force", r.name, rev)
-	if rev < r.w.highest[r.name] {
-		r.w.fail("%s went back from table %d to %d", r.name, r.w.highest[r.name], rev)
+	r.w.logf("%s: table %d in force", r.name, rev)
+	if rev < r.w.newestRevision[r.name] {
+		r.w.violation("%s went back from table %d to %d", r.name, r.w.newestRevision[r.name], rev)
 	}
-	r.w.highest[r.name] = rev
+	r.w.newestRevision[r.name] = rev
 }
 
-// joined reports whether messages pass between two routers now.
-func (w *world) joined(a, b *simRouter) bool {
+// connected reports whether messages pass between two routers now.
+func (w *world) connected(a, b *simRouter) bool {
 	if w.cut[a.name] || w.cut[b.name] {
 		return false
 	}
 	return a.zone == b.zone || !w.cut[a.zone] && !w.cut[b.zone]
 }
 
-// run lets time pass, calling each before every step.
+// run advances the time and calls each before every step.
 func (w *world) run(until time.Duration, each func()) {
 	for w.now < until {
 		w.now += simStep
@@ -285,7 +285,7 @@
 				continue
 			}
 			w.readPlatform(r)
-			r.step(ticked{})
+			r.step(tickEvent{})
 		}
 		w.feedLoads()
 		w.deliver()
@@ -293,13 +293,13 @@
 	}
 }
 
-// settled is how long after a split a zone may still have two owners.
-const settled = 5 * time.Second
+// splitRecovery is how long after a partition a zone may still have two owners.
+const splitRecovery = 5 * time.Second
 
-// allowed is the stated bound on what runs on a backend server: its slots, or
-// twice that while its zone is split and may have two owners.
-func (w *world) allowed(s *simServer) int {
-	if w.splitAt > 0 && w.now-w.splitAt < settled {
+// maxInFlight is the documented limit of requests on a backend server: its
+// slots, or twice as many while its zone may have two owners.
+func (w *world) maxInFlight(s *simServer) int {
+	if w.splitAt > 0 && w.now-w.splitAt < splitRecovery {
 		return 2 * s.row.Slots
 	}
 	return s.row.Slots
@@ -320,17 +320,17 @@
 
 func (w *world) readPlatform(r *simRouter) {
 	cutOff := w.cut["platform"] || w.cut[r.zone] || w.cut[r.name]
-	if cutOff || !r.core.sync.Reader() || r.readRev >= w.shown {
+	if cutOff || !r.core.sync.Reader() || r.readRev >= w.published {
 		return
 	}
-	r.readRev = w.shown
-	t := w.past[w.shown]
+	r.readRev = w.published
+	t := w.revisions[w.published]
 	t.Index()
-	r.step(tableRead{tablesync.PlatformValue{Revision: w.shown, Table: &t}})
+	r.step(tableRead{tablesync.PlatformValue{Revision: w.published, Table: &t}})
 }
 
-// deliver hands over what is due. What is under way over a cut is lost, and
-// its sender is told; what is for a paused router waits.
+// deliver delivers the due messages. Messages across a partition are lost and
+// their sender is notified; messages to a paused router wait.
 func (w *world) deliver() {
 	sort.SliceStable(w.links, func(i, j int) bool {
 		if w.links[i].at != w.links[j].at {
@@ -339,11 +339,11 @@
 		return w.links[i].order < w.links[j].order
 	})
 	for d, ok := w.nextDue(); ok; d, ok = w.nextDue() {
-		w.handOver(d)
+		w.deliverOne(d)
 	}
 }
 
-// nextDue takes the first message out whose time has come.
+// nextDue removes and returns the first message that is due.
 func (w *world) nextDue() (delivery, bool) {
 	for i, d := range w.links {
 		if d.at > w.now {
@@ -357,12 +357,12 @@
 	return delivery{}, false
 }
 
-func (w *world) handOver(d delivery) {
+func (w *world) deliverOne(d delivery) {
 	to, from := w.routers[d.to], w.routers[d.from]
-	sameStart := from.up && from.inc == d.inc
-	if !to.up || !w.joined(from, to) {
+	sameIncarnation := from.up && from.inc == d.inc
+	if !to.up || !w.connected(from, to) {
 		w.breakLink(d)
-		if sameStart {
+		if sameIncarnation {
 			from.step(lost{peer.Loss{Peer: d.to, Refused: !to.up}})
 		}
 		return
@@ -383,16 +383,16 @@
 
 func (d *delivery) connection() string { return fmt.Sprintf("%s/%d", d.from, d.inc) }
 
-// breakLink ends the connection of a lost message: what is behind it is lost
-// too, and both ends begin anew.
+// breakLink closes the connection of a lost message. Later messages of the
+// connection are lost too, and both sides start new codecs.
 func (w *world) breakLink(lost delivery) {
-	kept := w.links[:0]
+	remaining := w.links[:0]
 	for _, d := range w.links {
 		if d.from != lost.from || d.to != lost.to || d.inc != lost.inc {
-			kept = append(kept, d)
+			remaining = append(remaining, d)
 		}
 	}
-	w.links = kept
+	w.links = remaining
 	delete(w.routers[lost.to].in, lost.connection())
 	if from := w.routers[lost.from]; from.inc == lost.inc {
 		delete(from.out, lost.to)
@@ -416,20 +416,20 @@
 	}
 }
 
-// request sends a caller's request to a router.
+// request sends a client's request to a router.
 func (w *world) request(id, router, account, model, key string, tokens int64, wait time.Duration) {
 	r := w.routers[router]
-	a := &simAsk{id: id, router: router, key: key, tokens: tokens, inc: r.inc,
+	a := &simRequest{id: id, router: router, key: key, tokens: tokens, inc: r.inc,
 		req: front.Request{Account: account, Model: model}}
-	w.asks[id] = a
+	w.requests[id] = a
 	if !r.up || w.paused[router] {
 		a.done = true
-		w.note("%s: %s finds no router", router, id)
+		w.logf("%s: %s finds no router", router, id)
 		return
 	}
-	a.acq = &acquire{req: a.req, deadline: w.now + wait, answer: nil}
+	a.acquire = &acquire{req: a.req, deadline: w.now + wait, reply: nil}
 	if key == "" {
-		w.queueAsk(r, a)
+		w.acquireSlot(r, a)
 		return
 	}
 	a.claim = make(chan error, 1)
@@ -437,27 +437,27 @@
 		w.used[key] = w.now.Milliseconds()
 	}
 	msg := &wire.Claim{Key: account + "\x00" + key, Request: id, At: w.used[key]}
-	r.step(claimKey{&claiming{msg: msg, answer: a.claim}})
+	r.step(claimKey{&pendingClaim{msg: msg, reply: a.claim}})
 }
 
-func (w *world) queueAsk(r *simRouter, a *simAsk) {
-	a.answer = make(chan acquired, 1)
-	a.acq.answer = a.answer
-	r.step(a.acq)
+func (w *world) acquireSlot(r *simRouter, a *simRequest) {
+	a.reply = make(chan acquireResult, 1)
+	a.acquire.reply = a.reply
+	r.step(a.acquire)
 }
 
-// collect takes the cores' answers to requests and lets the backend servers
-// work on those that may run.
+// collect receives the cores' replies and lets the backend servers work on the
+// started requests.
 func (w *world) collect() {
-	for _, id := range sortedNames(w.asks) {
-		a := w.asks[id]
+	for _, id := range sortedNames(w.requests) {
+		a := w.requests[id]
 		r := w.routers[a.router]
 		if a.done || w.paused[a.router] || !r.up || r.inc != a.inc {
 			continue
 		}
 		w.collectClaim(r, a)
 		select {
-		case got := <-a.answer:
+		case got := <-a.reply:
 			w.answered(r, a, got)
 		default:
 		}
@@ -465,60 +465,60 @@
 	}
 }
 
-func (w *world) collectClaim(r *simRouter, a *simAsk) {
+func (w *world) collectClaim(r *simRouter, a *simRequest) {
 	select {
 	case err := <-a.claim:
 		if err != nil {
 			a.done = true
-			w.note("%s: %s is refused: %s", a.router, a.id, short(err))
+			w.logf("%s: %s is refused: %s", a.router, a.id, short(err))
 			return
 		}
 		other, twice := w.granted[a.key]
 		if twice {
-			w.fail("key %s was granted to %s and to %s", a.key, other, a.id)
+			w.violation("key %s was granted to %s and to %s", a.key, other, a.id)
 		}
 		w.granted[a.key] = a.id
-		w.queueAsk(r, a)
+		w.acquireSlot(r, a)
 	default:
 	}
 }
 
 func short(err error) string { return strings.SplitN(err.Error(), ":", 2)[0] }
 
-func (w *world) answered(r *simRouter, a *simAsk, got acquired) {
+func (w *world) answered(r *simRouter, a *simRequest, got acquireResult) {
 	if got.err != nil {
 		a.done = true
-		w.note("%s: %s is refused: %s", a.router, a.id, short(got.err))
+		w.logf("%s: %s is refused: %s", a.router, a.id, short(got.err))
 		return
 	}
 	g := got.grant
 	if !g.MayStart() {
-		w.note("%s: %s does not start, the lease ran out", a.router, a.id)
+		w.logf("%s: %s does not start, the lease ran out", a.router, a.id)
 		r.step(release{id: g.ID})
-		w.queueAsk(r, a)
+		w.acquireSlot(r, a)
 		return
 	}
 	s := w.servers[g.Backend]
 	s.inFlight++
 	s.most = max(s.most, s.inFlight)
-	if allowed := w.allowed(s); s.inFlight > allowed {
-		w.fail("%d run on %s where %d may", s.inFlight, g.Backend, allowed)
+	if allowed := w.maxInFlight(s); s.inFlight > allowed {
+		w.violation("%d run on %s where %d may", s.inFlight, g.Backend, allowed)
 	}
-	a.started, a.server, a.acq.id = true, g.Backend, g.ID
+	a.started, a.server, a.acquire.id = true, g.Backend, g.ID
 	a.ends = w.now + time.Duration(a.tokens)*tokenEvery
-	w.note("%s: %s starts on %s", a.router, a.id, g.Backend)
-	if told := max(s.closedAt, w.faultAt); s.closedAt > 0 && w.now-told > 2*time.Second {
-		w.fail("%s started on %s %s after its mark", a.id, g.Backend, w.now-told)
+	w.logf("%s: %s starts on %s", a.router, a.id, g.Backend)
+	if since := max(s.closedAt, w.faultAt); s.closedAt > 0 && w.now-since > 2*time.Second {
+		w.violation("%s started on %s %s after its mark", a.id, g.Backend, w.now-since)
 	}
 }
 
-// serve ends a request whose tokens have all come.
-func (w *world) serve(r *simRouter, a *simAsk) {
+// serve ends a request whose tokens have all been served.
+func (w *world) serve(r *simRouter, a *simRequest) {
 	if !a.started || a.done {
 		return
 	}
 	left := int64((a.ends - w.now) / tokenEvery)
-	if n, ok := r.core.served[a.acq.id]; ok {
+	if n, ok := r.core.served[a.acquire.id]; ok {
 		n.Store(max(0, a.tokens-max(0, left)))
 	}
 	if w.now < a.ends {
@@ -526,11 +526,11 @@
 	}
 	a.done = true
 	w.servers[a.server].inFlight--
-	w.note("%s: %s ends on %s", a.router, a.id, a.server)
-	r.step(release{id: a.acq.id, usage: front.Usage{Tokens: a.tokens, Sent: true}})
+	w.logf("%s: %s ends on %s", a.router, a.id, a.server)
+	r.step(release{id: a.acquire.id, usage: front.Usage{Tokens: a.tokens, Sent: true}})
 }
 
-// mark marks a backend server and publishes the table.
+// mark sets the mark of a backend server and publishes the table.
 func (w *world) mark(server string, m table.Mark) {
 	for i := range w.table.Backends {
 		if w.table.Backends[i].Name == server {
@@ -544,7 +544,7 @@
 	w.publish()
 }
 
-// close ends the cores' background tasks.
+// close stops the routers.
 func (w *world) close() {
 	for _, n := range w.names {
 		w.routers[n].router.Close()
--- a/pkg/allowance/allowance.go
+++ b/pkg/allowance/allowance.go
@@ -1,106 +1,107 @@
-// Package allowance bounds how many requests the fleet sends to a service a
-// second time. Each router takes its part of the fleet's allowance by itself,
-// so that the bound holds also where routers cannot hear each other: it is
-// earned by the requests that a router sees, and a fixed extra is divided by
-// the number of routers.
+// Package allowance limits how many retries the fleet sends to a service. Each
+// router enforces its share of the limit locally, without exchanging messages,
+// so the limit also holds during a network partition. The budget grows with the
+// requests that a router counts; the constant part is divided by the number of
+// routers.
 package allowance
 
 import "time"
 
-// Config is the fleet's allowance: within any window, the repeats to a service
-// are at most Ratio times its requests, and Extra more.
+// Config is the limit for the whole fleet: within any window, at most Ratio
+// retries per request to a service, plus Extra.
 type Config struct {
 	Ratio  float64
 	Extra  float64
 	Window time.Duration
 }
 
-// DefaultConfig is used where settings give none.
+// DefaultConfig returns the limit to use when the settings contain none.
 func DefaultConfig() Config { return Config{Ratio: 0.1, Extra: 20, Window: 10 * time.Second} }
 
 const (
-	// keepBack is the part of the allowance that is used; the rest is for
-	// requests that are counted at the edge of a window.
-	keepBack = 0.85
-	// buckets divide a window.
+	// usableFraction leaves room for requests and retries at the window's
+	// edges, which buckets count imprecisely.
+	usableFraction = 0.85
+	// buckets is the number of buckets per window.
 	buckets = 20
 )
 
-// Budget is one router's part.
+// Budget is one router's share of the retry budget.
 type Budget struct {
-	rule     Config
+	config   Config
 	started  time.Duration
 	services map[string]*counts
 }
 
-// counts are one service's requests and repeats, by bucket.
+// counts holds the requests and retries of one service, by bucket.
 type counts struct {
 	bucket   int64
 	requests [buckets]int
-	repeats  [buckets]int
+	retries  [buckets]int
 }
 
-// New returns the part of a router that starts at the time now.
-func New(rule Config, now time.Duration) *Budget {
-	return &Budget{rule: rule, started: now, services: map[string]*counts{}}
+// New returns the budget of a router that starts at the time now.
+func New(config Config, now time.Duration) *Budget {
+	return &Budget{config: config, started: now, services: map[string]*counts{}}
 }
 
-// Reconfigure changes the rule from now on.
-func (a *Budget) Reconfigure(rule Config) {
-	if rule.Window != a.rule.Window {
-		clear(a.services)
+// Reconfigure replaces the configuration. A new window length discards the
+// counts.
+func (b *Budget) Reconfigure(config Config) {
+	if config.Window != b.config.Window {
+		clear(b.services)
 	}
-	a.rule = rule
+	b.config = config
 }
 
-func (a *Budget) at(now time.Duration, service string) *counts {
-	c, ok := a.services[service]
+func (b *Budget) countsAt(now time.Duration, service string) *counts {
+	c, ok := b.services[service]
 	if !ok {
 		c = &counts{}
-		a.services[service] = c
+		b.services[service] = c
 	}
-	c.turn(int64(now / (a.rule.Window / buckets)))
+	c.advance(int64(now / (b.config.Window / buckets)))
 	return c
 }
 
-// turn empties the buckets that have run out.
-func (c *counts) turn(bucket int64) {
+// advance clears the buckets that have left the window.
+func (c *counts) advance(bucket int64) {
 	for step := int64(0); c.bucket < bucket && step < buckets; step++ {
 		c.bucket++
 		c.requests[c.bucket%buckets] = 0
-		c.repeats[c.bucket%buckets] = 0
+		c.retries[c.bucket%buckets] = 0
 	}
 	c.bucket = max(c.bucket, bucket)
 }
 
-// CountRequest counts a request for a service.
-func (a *Budget) CountRequest(now time.Duration, service string) {
-	c := a.at(now, service)
+// CountRequest counts a request to a service.
+func (b *Budget) CountRequest(now time.Duration, service string) {
+	c := b.countsAt(now, service)
 	c.requests[c.bucket%buckets]++
 }
 
-// Spend takes one repeat, if there is one left. Routers is how many share the
-// fleet's extra.
-func (a *Budget) Spend(now time.Duration, service string, routers int) bool {
-	c := a.at(now, service)
-	requests, repeats := 0, 0
+// Spend takes one retry from the budget and reports whether one was left. The
+// parameter routers is the number of routers that share Extra.
+func (b *Budget) Spend(now time.Duration, service string, routers int) bool {
+	c := b.countsAt(now, service)
+	requests, retries := 0, 0
 	for i := range buckets {
 		requests += c.requests[i]
-		repeats += c.repeats[i]
+		retries += c.retries[i]
 	}
-	if float64(repeats)+1 > keepBack*(a.rule.Ratio*float64(requests)+a.extra(now, routers)) {
+	if float64(retries)+1 > usableFraction*(b.config.Ratio*float64(requests)+b.extraShare(now, routers)) {
 		return false
 	}
-	c.repeats[c.bucket%buckets]++
+	c.retries[c.bucket%buckets]++
 	return true
 }
 
-// extra is this router's part of the fixed extra. An earlier start of it may
-// have used that up, so it grows during the first window.
-func (a *Budget) extra(now time.Duration, routers int) float64 {
-	part := a.rule.Extra / float64(max(1, routers))
-	if up := now - a.started; up < a.rule.Window {
-		part *= up.Seconds() / a.rule.Window.Seconds()
+// extraShare returns this router's share of Extra. It grows from zero during
+// the first window, because the router may have spent it before a restart.
+func (b *Budget) extraShare(now time.Duration, routers int) float64 {
+	share := b.config.Extra / float64(max(1, routers))
+	if up := now - b.started; up < b.config.Window {
+		share *= up.Seconds() / b.config.Window.Seconds()
 	}
-	return part
+	return share
 }
--- a/pkg/hold/event.go
+++ b/pkg/hold/event.go
@@ -7,36 +7,36 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// Event is what a Holder takes in one Step.
+// Event is an input of Holder.Step.
 type Event interface{ apply(h *Holder) }
 
-// Arrive is a request that a caller sent and that was admitted.
+// Arrive is an admitted request of a client.
 type Arrive struct {
-	// ID is unique in the router's life.
+	// ID is unique among the requests of this router.
 	ID      uint64
 	Account string
 	Model   string
-	// Priority is from 0 to 9; the higher goes first within the account.
+	// Priority is from 0 to 9. Within an account, higher values go first.
 	Priority int
-	// Deadline is when the request is given up, on the Step clock.
+	// Deadline is when a waiting request is refused, on the Step clock.
 	Deadline time.Duration
-	// Waited is how long the request waited before an earlier attempt.
+	// Waited is how long the request waited before earlier attempts.
 	Waited time.Duration
-	// Prefix is a hash of the prompt's beginning, 0 if there is none.
+	// Prefix is a hash of the prompt's prefix, 0 if there is none.
 	Prefix uint32
 }
 
-// Cancel takes a waiting request out, because its caller went away.
+// Cancel removes a waiting request whose client disconnected.
 type Cancel struct{ ID uint64 }
 
-// Finished ends a started request and gives its slot back.
+// Finished ends a started request and releases its lease.
 type Finished struct {
 	ID uint64
-	// Tokens is what the backend server served.
+	// Tokens is the number of tokens that the backend server served.
 	Tokens int64
-	// Sent says whether any byte may have reached the backend server.
+	// Sent is whether any byte may have reached the backend server.
 	Sent bool
-	// Unreachable says that the backend server could not be reached.
+	// Unreachable is whether connecting to the backend server failed.
 	Unreachable bool
 }
 
@@ -52,66 +52,67 @@
 	Msg  *wire.Renew
 }
 
-// Recalled asks standing leases back.
+// Recalled asks for the return of standing leases or for a report.
 type Recalled struct {
 	From string
 	Msg  *wire.Recall
 }
 
-// Tick lets time pass. Tokens is what running requests were served so far.
+// Tick advances the time. Tokens are the tokens served so far, by running
+// request.
 type Tick struct{ Tokens map[uint64]int64 }
 
-// PoolOwner names the owner to ask for a model.
+// PoolOwner is a pool and the router that owns it.
 type PoolOwner struct {
 	Pool wire.Pool
-	// Owner is a router; "" if nobody is known.
+	// Owner is the router's name, "" if unknown.
 	Owner string
-	// Incarnation is the owner's incarnation, 0 if not known.
+	// Incarnation is the owner's incarnation, 0 if unknown.
 	Incarnation uint64
 }
 
-// ModelOwners replaces the owner to ask, by model. A model that is not named is
-// served nowhere.
+// ModelOwners replaces the owners that receive this router's demand, by model.
+// Models not listed are not served.
 type ModelOwners struct{ Of map[string]PoolOwner }
 
-// PoolOwners names the present owner of every pool, by pool. Zone is the
-// router's own availability zone.
+// PoolOwners replaces the current owner of each pool. Zone is the router's own
+// availability zone.
 type PoolOwners struct {
 	Zone string
 	Of   map[wire.Pool]PoolOwner
 }
 
-// OwnerMoved says that a router is not the owner of a pool, and who is.
+// OwnerMoved reports that the router From does not own the pool and To does.
 type OwnerMoved struct {
 	Pool wire.Pool
 	From string
 	To   string
 }
 
-// BackendsClosed replaces the set of backend servers that take no new work.
+// BackendsClosed replaces the set of backend servers that get no new requests.
 type BackendsClosed struct{ Backends map[string]bool }
 
-// LimitedAccounts replaces the accounts that have limits over the whole fleet. Their
-// requests go by way of the owner, who counts them, and not on standing leases.
+// LimitedAccounts replaces the set of accounts with fleet-wide limits. Their
+// requests do not use standing leases, so that the owner can count each one.
 type LimitedAccounts struct{ Accounts map[string]bool }
 
-// MessagesLost says that messages to or from a router may have been lost.
+// MessagesLost reports that messages to or from a router may have been lost.
 type MessagesLost struct{ Peer string }
 
-// Action is what the caller of Step does for the Holder.
+// Action is an output of Holder.Step that the caller executes.
 type Action interface{ action() }
 
-// Start runs a request on a lease. The caller checks Expires against the
-// Step clock once more just before the first byte.
+// Start starts a request on a lease. The caller checks Expires once more just
+// before it sends the first byte.
 type Start struct {
 	ID      uint64
 	Lease   wire.Lease
 	Expires time.Duration
-	// Waited is how long the request waited in all.
+	// Waited is the total waiting time of the request.
 	Waited time.Duration
 }
 
-// Refuse answers a request that did not run.
+// Refuse refuses a request that has not run.
 type Refuse struct {
 	ID  uint64
 	Err *verdict.Error
--- a/pkg/hold/holder.go
+++ b/pkg/hold/holder.go
@@ -1,6 +1,6 @@
-// Package hold decides for one router which of its callers' waiting requests
-// starts on which lease, and what the owners of pools are told. It is a pure
-// state machine: events and the time go in, actions come out.
+// Package hold decides for one router which waiting request starts on which
+// lease, and which demands and reports it sends to the owners of pools. It is a
+// pure state machine: events and times are its input, actions its output.
 package hold
 
 import (
@@ -13,94 +13,96 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// Holder is the state of a router towards its callers.
+// Holder is the state of a router that holds leases.
 type Holder struct {
 	opt      options
 	now      time.Duration
 	models   map[string]*model
 	requests map[uint64]*request
-	leases   map[key]*held
-	// byPool lists the leases of each pool, idle or running.
-	byPool   map[wire.Pool]*lent
-	lenders  map[wire.Pool]PoolOwner
-	zone     string
-	closed   map[string]bool
-	limited  map[string]bool
-	prefixes *prefixes
-	queued   map[string]int
-	lastTell time.Duration
-	draining bool
-	out      []Action
-}
-
-// model is what waits and what is free for one model.
+	leases   map[leaseKey]*lease
+	// byPool contains the leases of each pool, idle or running.
+	byPool     map[wire.Pool]*poolLeases
+	poolOwners map[wire.Pool]PoolOwner
+	zone       string
+	closed     map[string]bool
+	limited    map[string]bool
+	prefixes   *prefixAffinity
+	queued     map[string]int
+	lastReport time.Duration
+	draining   bool
+	out        []Action
+}
+
+// model contains the waiting requests and idle leases of one model.
 type model struct {
-	name   string
-	home   PoolOwner
-	seq    uint64
-	seen   uint64
-	queues map[string]*queue
-	// told is the count that the owner believes: the last one sent less the
-	// grants since. An account is in dirty if its queue has changed since.
-	told    map[string]int
-	dirty   map[string]bool
-	needAll bool
-	rounds  int
-	// idle lists standing leases that no request uses.
-	idle []*held
-}
-
-// lent is the leases of one pool and what is still to be told of them.
-type lent struct {
-	held  map[key]*held
-	ended map[wire.Source][]wire.LeaseUse
-}
-
-// key identifies a lease in the whole fleet.
-type key struct {
+	name      string
+	poolOwner PoolOwner
+	seq       uint64
+	seen      uint64
+	queues    map[string]*queue
+	// reported is the count that the owner currently assumes: the last one
+	// sent, less the grants since. dirty contains the accounts whose queue has
+	// changed since.
+	reported map[string]int
+	dirty    map[string]bool
+	fullDue  bool
+	rounds   int
+	// idle contains the standing leases that no request uses.
+	idle []*lease
+}
+
+// poolLeases contains the leases of one pool and the uses to report.
+type poolLeases struct {
+	leases map[leaseKey]*lease
+	ended  map[wire.Source][]wire.LeaseUse
+}
+
+// leaseKey identifies a lease in the whole fleet.
+type leaseKey struct {
 	source wire.Source
 	id     uint64
 }
 
-// held is a lease at its holder.
-type held struct {
+// lease is a granted lease at its holder.
+type lease struct {
 	wire.Lease
 	source wire.Source
-	// ttl is how long a renewal lasts.
+	// ttl is the duration of a renewal.
 	ttl time.Duration
-	// state follows the chart in pkg/chart/lease.yaml.
+	// state follows the state chart in pkg/chart/lease.yaml.
 	state chart.State
-	// expires is when no request may start on it any more.
+	// expires is when requests can no longer start on the lease.
 	expires  time.Duration
 	standing bool
 	recalled bool
 	request  *request
 	started  time.Duration
 	tokens   int64
-	// owner is who gets the lease back: the grantor, or its successor.
+	// owner is the router to return the lease to: the one that granted it, or
+	// its successor.
 	owner string
 }
 
-// New returns the state of a router that holds nothing.
+// New returns a Holder without leases.
 func New(opts ...Option) *Holder {
 	h := &Holder{
-		opt:      defaults(),
-		models:   map[string]*model{},
-		requests: map[uint64]*request{},
-		leases:   map[key]*held{},
-		byPool:   map[wire.Pool]*lent{},
-		lenders:  map[wire.Pool]PoolOwner{},
-		queued:   map[string]int{},
+		opt:        defaults(),
+		models:     map[string]*model{},
+		requests:   map[uint64]*request{},
+		leases:     map[leaseKey]*lease{},
+		byPool:     map[wire.Pool]*poolLeases{},
+		poolOwners: map[wire.Pool]PoolOwner{},
+		queued:     map[string]int{},
 	}
 	for _, f := range opts {
 		f(&h.opt)
 	}
-	h.prefixes = newPrefixes(h.opt.prefixes)
+	h.prefixes = newPrefixAffinity(h.opt.prefixes)
 	return h
 }
 
-// Step takes one event at the time now and returns what to do. The returned
-// slice is valid until the next Step.
+// Step applies one event at the time now and returns the actions to execute.
+// The returned slice is valid until the next Step.
 func (h *Holder) Step(now time.Duration, ev Event) []Action {
 	h.now = max(h.now, now)
 	h.out = h.out[:0]
@@ -108,10 +110,10 @@
 	return h.out
 }
 
-// Queued returns how many requests of the account wait here.
+// Queued returns the number of waiting requests of the account.
 func (h *Holder) Queued(account string) int { return h.queued[account] }
 
-// Waiting returns how many requests wait, by model and account.
+// Waiting returns the number of waiting requests, by model and account.
 func (h *Holder) Waiting() map[string]map[string]int {
 	all := map[string]map[string]int{}
 	for name, m := range h.models {
@@ -128,16 +130,16 @@
 	return all
 }
 
-// BackendUsage is what this router does on one backend server.
+// BackendUsage is this router's use of one backend server.
 type BackendUsage struct {
-	// Running requests, and how long the oldest has run.
+	// Running is the number of running requests, Oldest the age of the oldest.
 	Running int
 	Oldest  time.Duration
-	// Leases that no request uses now.
+	// Leases is the number of leases that no request uses.
 	Leases int
 }
 
-// Usage returns what this router does on each backend server.
+// Usage returns this router's use of each backend server.
 func (h *Holder) Usage() map[string]BackendUsage {
 	uses := map[string]BackendUsage{}
 	for _, l := range h.leases {
@@ -153,7 +155,7 @@
 	return uses
 }
 
-// Leases returns how many leases are held, and how many of them are idle.
+// Leases returns the number of held leases and how many of them are idle.
 func (h *Holder) Leases() (all, idle int) {
 	for _, m := range h.models {
 		idle += len(m.idle)
@@ -161,26 +163,26 @@
 	return len(h.leases), idle
 }
 
-func (x *lent) takeEnded(s wire.Source) []wire.LeaseUse {
+func (x *poolLeases) takeEnded(s wire.Source) []wire.LeaseUse {
 	e := x.ended[s]
 	delete(x.ended, s)
 	return e
 }
 
-func (l *held) key() key { return key{l.source, l.ID} }
+func (l *lease) key() leaseKey { return leaseKey{l.source, l.ID} }
 
-func (h *Holder) act(a Action) { h.out = append(h.out, a) }
+func (h *Holder) emit(a Action) { h.out = append(h.out, a) }
 
 func (h *Holder) send(to string, msg any) {
 	if to != "" {
-		h.act(Send{To: to, Msg: msg})
+		h.emit(Send{To: to, Msg: msg})
 	}
 }
 
 func (h *Holder) model(name string) *model {
 	m, ok := h.models[name]
 	if !ok {
-		m = &model{name: name, queues: map[string]*queue{}, told: map[string]int{}, dirty: map[string]bool{}}
+		m = &model{name: name, queues: map[string]*queue{}, reported: map[string]int{}, dirty: map[string]bool{}}
 		h.models[name] = m
 	}
 	return m
@@ -211,8 +213,8 @@
 	h.queued[r.Account]++
 }
 
-// dequeued keeps the counts after a request left its queue.
-func (h *Holder) dequeued(r *request) {
+// afterDequeue updates the counts after a request has left its queue.
+func (h *Holder) afterDequeue(r *request) {
 	m := h.model(r.Model)
 	m.dirty[r.Account] = true
 	if len(*m.queue(r.Account)) == 0 {
@@ -226,12 +228,12 @@
 
 func (h *Holder) refuse(r *request, err *verdict.Error) {
 	delete(h.requests, r.ID)
-	h.act(Refuse{ID: r.ID, Err: err})
+	h.emit(Refuse{ID: r.ID, Err: err})
 }
 
-// move takes a lease along its chart. A transition that the chart lacks
-// leaves the lease where it is and reports false.
-func (l *held) move(on chart.Event) bool {
+// transition applies an event to the lease's state. It reports whether the
+// state chart allows the event; if not, the state stays.
+func (l *lease) transition(on chart.Event) bool {
 	next, err := chart.Lease.Next(l.state, on)
 	if err != nil {
 		return false
--- a/pkg/hold/lease.go
+++ b/pkg/hold/lease.go
@@ -10,59 +10,60 @@
 
 func (e Granted) apply(h *Holder) {
 	m := h.model(e.Msg.For.Model)
-	if e.From == m.home.Owner && e.Msg.For == m.home.Pool {
+	if e.From == m.poolOwner.Owner && e.Msg.For == m.poolOwner.Pool {
 		m.seen = max(m.seen, e.Msg.Seq)
 	}
 	for i := range e.Msg.Leases {
-		h.take(m, e.Msg, e.Msg.Leases[i])
+		h.takeLease(m, e.Msg, e.Msg.Leases[i])
 	}
 }
 
-// take uses a lease at once, keeps it if it is a standing one, or hands it
-// back if there is nothing it could run.
-func (h *Holder) take(m *model, g *wire.Grant, l wire.Lease) {
+// takeLease starts a request on the lease, keeps a standing lease as idle, or
+// returns the lease if no request can use it.
+func (h *Holder) takeLease(m *model, g *wire.Grant, l wire.Lease) {
 	ttl := time.Duration(g.TTLMillis) * time.Millisecond
-	x := &held{
+	x := &lease{
 		Lease: l, source: g.Source, ttl: ttl, state: chart.Granted,
 		expires: g.Stamp.At() + ttl, standing: l.Account == "", owner: g.Source.Owner,
 	}
-	if _, twice := h.leases[x.key()]; twice {
+	if _, duplicate := h.leases[x.key()]; duplicate {
 		return
 	}
 	h.leases[x.key()] = x
-	h.pool(g.Source.Pool).held[x.key()] = x
-	if h.former(x) {
-		h.giveBack(x, h.use(x, "", 0), false)
+	h.pool(g.Source.Pool).leases[x.key()] = x
+	if h.fromFormerOwner(x) {
+		h.giveBack(x, h.leaseUse(x, "", 0), false)
 		return
 	}
-	r := h.nextFor(m, x)
+	r := h.dequeueFor(m, x)
 	switch {
 	case r != nil:
 		h.start(r, x)
 	case x.standing && !h.draining && !h.closed[l.Backend] && h.now < x.expires:
 		m.idle = append(m.idle, x)
 	default:
-		x.move(chart.Return)
-		h.giveBack(x, h.use(x, "", 0), false)
+		x.transition(chart.Return)
+		h.giveBack(x, h.leaseUse(x, "", 0), false)
 	}
 }
 
-// former reports whether the lease comes from a router that this one no longer
-// takes for the pool's owner. Its successor was told what runs here, and must
-// be able to rely on that.
-func (h *Holder) former(l *held) bool {
-	owner := h.lenders[l.source.Pool].Owner
+// fromFormerOwner reports whether the router that granted the lease no longer
+// owns the pool. Its successor already has a report of the leases held here,
+// which must stay accurate.
+func (h *Holder) fromFormerOwner(l *lease) bool {
+	owner := h.poolOwners[l.source.Pool].Owner
 	return l.source.Pool.Zone == h.zone && owner != "" && owner != l.source.Owner
 }
 
-// nextFor takes the request that the lease is for out of its queue.
-func (h *Holder) nextFor(m *model, l *held) *request {
+// dequeueFor removes the request to run on the lease from its queue. It returns
+// nil if there is none.
+func (h *Holder) dequeueFor(m *model, l *lease) *request {
 	if h.closed[l.Backend] || h.now+startMargin >= l.expires {
 		return nil
 	}
 	account := l.Account
 	if l.standing {
-		account = m.oldest(h.limited)
+		account = m.longestWaiting(h.limited)
 	}
 	q, ok := m.queues[account]
 	if !ok || len(*q) == 0 {
@@ -71,20 +72,20 @@
 	r := h.prefixes.pick(*q, l.Backend)
 	q.remove(r)
 	h.prefixes.put(r.Prefix, l.Backend)
-	h.dequeued(r)
+	h.afterDequeue(r)
 	if !l.standing {
-		m.note(account, max(0, m.told[account]-1))
+		m.setReported(account, max(0, m.reported[account]-1))
 	}
 	return r
 }
 
-// oldest returns the account whose next request has waited longest, of those
-// that may use a standing lease.
-func (m *model) oldest(limited map[string]bool) string {
+// longestWaiting returns the account whose first request has waited longest,
+// among the accounts that may use standing leases.
+func (m *model) longestWaiting(limited map[string]bool) string {
 	best := ""
 	for _, name := range sortedKeys(m.queues) {
 		q := *m.queues[name]
-		if len(q) > 0 && !limited[name] && (best == "" || q[0].turn < (*m.queues[best])[0].turn) {
+		if len(q) > 0 && !limited[name] && (best == "" || q[0].sortTime < (*m.queues[best])[0].sortTime) {
 			best = name
 		}
 	}
@@ -93,7 +94,7 @@
 
 func (e Renewed) apply(h *Holder) {
 	p := h.pool(e.Msg.Pool)
-	for _, l := range p.held {
+	for _, l := range p.leases {
 		if l.standing && l.owner == e.From {
 			l.expires = max(l.expires, e.Msg.Stamp.At()+l.ttl)
 		}
@@ -102,44 +103,44 @@
 
 func (e Recalled) apply(h *Holder) {
 	if e.Msg.WantReport {
-		if h.lenders[e.Msg.Pool].Owner == e.From {
-			h.moveLeases(e.Msg.Pool, PoolOwner{Owner: e.From}, PoolOwner{Owner: e.From})
-			h.adopt(e.Msg.Pool, e.From)
+		if h.poolOwners[e.Msg.Pool].Owner == e.From {
+			h.transferLeases(e.Msg.Pool, PoolOwner{Owner: e.From}, PoolOwner{Owner: e.From})
+			h.reportToNewOwner(e.Msg.Pool, e.From)
 		}
 		return
 	}
 	p := h.pool(e.Msg.Pool)
 	m := h.model(e.Msg.Pool.Model)
-	for _, l := range p.held {
+	for _, l := range p.leases {
 		if l.standing && l.owner == e.From {
 			l.recalled = true
 		}
 	}
-	h.returnIdle(m, func(l *held) bool { return l.recalled }, chart.Recall)
+	h.returnIdle(m, func(l *lease) bool { return l.recalled }, chart.Recall)
 }
 
-// returnIdle hands back the idle standing leases that match, in one message
-// for each owner and pool.
-func (h *Holder) returnIdle(m *model, match func(*held) bool, on chart.Event) {
-	type to struct {
+// returnIdle returns the idle standing leases that match, in one message per
+// owner and source.
+func (h *Holder) returnIdle(m *model, match func(*lease) bool, on chart.Event) {
+	type recipient struct {
 		owner  string
 		source wire.Source
 	}
-	returns := map[to]*wire.Return{}
-	var order []to
+	returns := map[recipient]*wire.Return{}
+	var order []recipient
 	kept := m.idle[:0]
 	for _, l := range m.idle {
-		if !match(l) || !l.move(on) {
+		if !match(l) || !l.transition(on) {
 			kept = append(kept, l)
 			continue
 		}
-		k := to{l.owner, l.source}
+		k := recipient{l.owner, l.source}
 		if returns[k] == nil {
 			p := h.pool(l.source.Pool)
 			returns[k] = &wire.Return{Pool: l.source.Pool, Epoch: l.source.Epoch, Ended: p.takeEnded(l.source)}
 			order = append(order, k)
 		}
-		returns[k].Unused = append(returns[k].Unused, h.use(l, "", 0))
+		returns[k].Unused = append(returns[k].Unused, h.leaseUse(l, "", 0))
 		h.forget(l)
 	}
 	m.idle = kept
@@ -151,72 +152,73 @@
 func (e BackendsClosed) apply(h *Holder) {
 	h.closed = e.Backends
 	for _, name := range sortedKeys(h.models) {
-		h.returnIdle(h.models[name], func(l *held) bool { return h.closed[l.Backend] }, chart.Return)
+		h.returnIdle(h.models[name], func(l *lease) bool { return h.closed[l.Backend] }, chart.Return)
 	}
 }
 
 func (e ModelOwners) apply(h *Holder) {
 	for _, name := range sortedKeys(e.Of) {
-		h.moveHome(h.model(name), e.Of[name])
+		h.changeOwner(h.model(name), e.Of[name])
 	}
 	for name, m := range h.models {
 		if _, ok := e.Of[name]; !ok {
-			m.home = PoolOwner{}
+			m.poolOwner = PoolOwner{}
 		}
 	}
 }
 
-// moveHome turns to another owner: the former one hears that nothing waits
-// for it any more, and the new one is told all that waits.
-func (h *Holder) moveHome(m *model, home PoolOwner) {
-	if m.home == home {
+// changeOwner sends the model's demand to another owner: it withdraws the
+// demand from the former one and sends the full demand to the new one.
+func (h *Holder) changeOwner(m *model, owner PoolOwner) {
+	if m.poolOwner == owner {
 		return
 	}
-	if m.home.Owner != home.Owner {
-		withdrawn := &wire.Demand{Pool: m.home.Pool, Seq: m.seq + 1, Stamp: wire.StampOf(h.now), Full: true}
-		h.send(m.home.Owner, withdrawn)
+	if m.poolOwner.Owner != owner.Owner {
+		withdrawn := &wire.Demand{Pool: m.poolOwner.Pool, Seq: m.seq + 1, Stamp: wire.StampOf(h.now), Full: true}
+		h.send(m.poolOwner.Owner, withdrawn)
 	}
-	m.home = home
+	m.poolOwner = owner
 	m.seen = 0
 	m.seq = 0
-	m.needAll = true
-	h.tellNow(m)
+	m.fullDue = true
+	h.sendDemand(m)
 }
 
 func (e PoolOwners) apply(h *Holder) {
-	old := h.lenders
-	h.lenders = e.Of
+	old := h.poolOwners
+	h.poolOwners = e.Of
 	h.zone = e.Zone
 	for _, p := range h.pools() {
 		now, known := e.Of[p]
 		if known && now != old[p] && now.Owner != "" {
-			h.moveLeases(p, old[p], now)
+			h.transferLeases(p, old[p], now)
 		}
 	}
 	for _, p := range wire.SortedPools(e.Of) {
-		if e.Of[p] != old[p] && (p.Zone == e.Zone || len(h.pool(p).held) > 0) {
-			h.adopt(p, e.Of[p].Owner)
+		if e.Of[p] != old[p] && (p.Zone == e.Zone || len(h.pool(p).leases) > 0) {
+			h.reportToNewOwner(p, e.Of[p].Owner)
 		}
 	}
 }
 
-// moveLeases gives the leases of a pool a new owner. Idle ones end, so that
-// nothing starts on the word of two owners; running ones are reported for
-// the new owner to count.
-func (h *Holder) moveLeases(p wire.Pool, from, to PoolOwner) {
+// transferLeases assigns the leases of a pool to a new owner. Idle leases are
+// returned, so that two owners cannot grant the same slot. Running ones are
+// reported to the new owner later.
+func (h *Holder) transferLeases(p wire.Pool, from, to PoolOwner) {
 	if from.Owner == "" {
 		return
 	}
-	h.returnIdle(h.model(p.Model), func(l *held) bool { return l.source.Pool == p }, chart.Return)
+	h.returnIdle(h.model(p.Model), func(l *lease) bool { return l.source.Pool == p }, chart.Return)
 	for _, l := range h.pool(p).sorted() {
 		l.owner = to.Owner
 		l.standing = false
 	}
 }
 
-// adopt tells a new owner what runs on the leases of former ones. It tells
-// it even if nothing does, since the new owner waits to hear so.
-func (h *Holder) adopt(p wire.Pool, owner string) {
+// reportToNewOwner reports the leases granted by former owners to the new owner
+// of a pool. The owner waits for this report, so an empty one is sent if there
+// are none.
+func (h *Holder) reportToNewOwner(p wire.Pool, owner string) {
 	if owner == "" {
 		return
 	}
@@ -241,20 +243,20 @@
 
 func (e OwnerMoved) apply(h *Holder) {
 	moved := false
-	for _, l := range h.pool(e.Pool).held {
+	for _, l := range h.pool(e.Pool).leases {
 		moved = moved || l.owner == e.From
 	}
 	if moved {
-		h.moveLeases(e.Pool, PoolOwner{Owner: e.From}, PoolOwner{Owner: e.To})
-		h.adopt(e.Pool, e.To)
+		h.transferLeases(e.Pool, PoolOwner{Owner: e.From}, PoolOwner{Owner: e.To})
+		h.reportToNewOwner(e.Pool, e.To)
 	}
 }
 
 func (h *Holder) pools() []wire.Pool { return wire.SortedPools(h.byPool) }
 
-func (x *lent) sorted() []*held {
-	all := make([]*held, 0, len(x.held))
-	for _, l := range x.held {
+func (x *poolLeases) sorted() []*lease {
+	all := make([]*lease, 0, len(x.leases))
+	for _, l := range x.leases {
 		all = append(all, l)
 	}
 	sort.Slice(all, func(i, j int) bool {
@@ -266,23 +268,23 @@
 	return all
 }
 
-// Drain stops keeping leases, because the router is about to stop. Waiting
-// requests are refused as not run.
+// Drain returns all idle leases and refuses all waiting requests, because the
+// router is stopping.
 type Drain struct{}
 
 func (Drain) apply(h *Holder) {
 	h.draining = true
 	for _, name := range sortedKeys(h.models) {
 		m := h.models[name]
-		h.returnIdle(m, func(*held) bool { return true }, chart.Return)
+		h.returnIdle(m, func(*lease) bool { return true }, chart.Return)
 		for _, account := range sortedKeys(m.queues) {
 			q := m.queues[account]
 			for len(*q) > 0 {
 				r := q.next()
-				h.dequeued(r)
-				h.refuse(r, errGivenUp.WithRetryAfter(time.Second))
+				h.afterDequeue(r)
+				h.refuse(r, errDraining.WithRetryAfter(time.Second))
 			}
 		}
-		h.tellNow(m)
+		h.sendDemand(m)
 	}
 }
--- a/pkg/hold/options.go
+++ b/pkg/hold/options.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// DefaultReportInterval is the interval at which owners hear of held leases. It
-// is a third of pool.DefaultTTL, so that one lost report expires nothing.
+// DefaultReportInterval is the interval between reports of held leases. It is a
+// third of pool.DefaultTTL, so that leases survive the loss of one report.
 const DefaultReportInterval = 500 * time.Millisecond
 
-// fullRounds: one regular demand in so many is full, so that an owner that
-// missed a change learns of it.
-const fullRounds = 4
+// fullDemandEvery: one in so many regular demands is a full one, to repair an
+// owner's state after lost messages.
+const fullDemandEvery = 4
 
-// soonCount: a change of an account's count is told at once while the owner
-// believes it below this, and with the next report above it.
-const soonCount = 4
+// urgentCount is the count below which the change of an account's queue is sent
+// immediately instead of with the next regular demand.
+const urgentCount = 4
 
-// startMargin is how long before its expiry a lease starts nothing more.
+// startMargin is the remaining lease time at which requests no longer start.
 const startMargin = 20 * time.Millisecond
 
 type options struct {
-	reportEvery time.Duration
-	prefixes    bool
+	reportInterval time.Duration
+	prefixes       bool
 }
 
 func defaults() options {
-	return options{reportEvery: DefaultReportInterval, prefixes: true}
+	return options{reportInterval: DefaultReportInterval, prefixes: true}
 }
 
-// WithPrefixAffinity says whether requests look for the server that holds their
-// prompt's prefix.
+// WithPrefixAffinity sets whether requests prefer the backend server that has
+// cached their prompt's prefix.
 func WithPrefixAffinity(on bool) Option {
 	return func(o *options) { o.prefixes = on }
 }
 
-// Option changes a new Holder.
+// Option configures a new Holder.
 type Option func(*options)
 
 // WithReportInterval sets the interval of reports to owners.
 func WithReportInterval(d time.Duration) Option {
-	return func(o *options) { o.reportEvery = d }
+	return func(o *options) { o.reportInterval = d }
 }
--- a/pkg/hold/prefix.go
+++ b/pkg/hold/prefix.go
@@ -2,63 +2,64 @@
 
 import "time"
 
-// Bounds of looking for a prefix.
+// Limits of prefix affinity.
 const (
-	// prefixesKept is how many prefixes a router remembers.
-	prefixesKept = 4096
-	// lookAhead is how many waiting requests of an account are looked at.
-	lookAhead = 32
-	// passedOver is how much later a request may have come and still go
-	// first for its prefix, so that none waits for long.
-	passedOver = 500 * time.Millisecond
+	// maxPrefixes is the number of prefixes that a router remembers.
+	maxPrefixes = 4096
+	// scanDepth is the number of an account's waiting requests to examine.
+	scanDepth = 32
+	// maxReorder is how much later a request may have arrived and still
+	// overtake the first one for its prefix.
+	maxReorder = 500 * time.Millisecond
 )
 
-// prefixes remembers which server last served a prompt's prefix from here. It
-// is a guess: a server that dropped the prefix costs a miss and nothing else.
-type prefixes struct {
-	on bool
-	at map[uint32]string
-	// ring lists the prefixes in the order in which they were first put.
-	ring [prefixesKept]uint32
+// prefixAffinity remembers which backend server last served each prompt prefix
+// for this router. If the server has dropped the prefix from its cache, the
+// cost is a cache miss.
+type prefixAffinity struct {
+	enabled bool
+	servers map[uint32]string
+	// ring contains the prefixes in order of insertion.
+	ring [maxPrefixes]uint32
 	next int
 }
 
-func newPrefixes(on bool) *prefixes {
-	return &prefixes{on: on, at: map[uint32]string{}}
+func newPrefixAffinity(on bool) *prefixAffinity {
+	return &prefixAffinity{enabled: on, servers: map[uint32]string{}}
 }
 
-func (p *prefixes) put(prefix uint32, server string) {
-	if !p.on || prefix == 0 {
+func (p *prefixAffinity) put(prefix uint32, server string) {
+	if !p.enabled || prefix == 0 {
 		return
 	}
-	if _, known := p.at[prefix]; !known {
-		delete(p.at, p.ring[p.next])
+	if _, known := p.servers[prefix]; !known {
+		delete(p.servers, p.ring[p.next])
 		p.ring[p.next] = prefix
-		p.next = (p.next + 1) % prefixesKept
+		p.next = (p.next + 1) % maxPrefixes
 	}
-	p.at[prefix] = server
+	p.servers[prefix] = server
 }
 
-// pick returns the request to run on the server: the account's next one, or
-// one soon behind it whose prefix the server holds, or else one that no other
-// server holds.
-func (p *prefixes) pick(q queue, server string) *request {
+// pick returns the request to run on the server: the account's first request if
+// it has no prefix or the server has the prefix, else a request close behind
+// whose prefix the server has, else one whose prefix no server has.
+func (p *prefixAffinity) pick(q queue, server string) *request {
 	head := q[0]
-	if !p.on || head.Prefix == 0 || p.at[head.Prefix] == server {
+	if !p.enabled || head.Prefix == 0 || p.servers[head.Prefix] == server {
 		return head
 	}
-	free := head
-	for _, r := range q[:min(len(q), lookAhead)] {
-		if r.turn > head.turn+passedOver {
+	candidate := head
+	for _, r := range q[:min(len(q), scanDepth)] {
+		if r.sortTime > head.sortTime+maxReorder {
 			continue
 		}
-		at, known := p.at[r.Prefix]
-		if at == server {
+		cachedAt, known := p.servers[r.Prefix]
+		if cachedAt == server {
 			return r
 		}
-		if !known && free == head {
-			free = r
+		if !known && candidate == head {
+			candidate = r
 		}
 	}
-	return free
+	return candidate
 }
--- a/pkg/hold/queue.go
+++ b/pkg/hold/queue.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// priorityLead is how much later a request may arrive and still go first for
-// each step of priority. As it is finite, no priority starves another.
+// priorityLead is how much later a request may arrive per step of priority and
+// still go first. Because it is finite, no request starves.
 const priorityLead = 2 * time.Second
 
-// request is one caller's request while this router holds it.
+// request is a client's request at this router.
 type request struct {
 	Arrive
 	// arrived is the time of the first arrival, before any retry.
 	arrived time.Duration
-	// turn orders the account's queue: arrival less the priority's lead.
-	turn time.Duration
-	// index is the place in the queue, -1 when not waiting.
+	// sortTime orders the queue: the arrival time less the lead of the
+	// priority.
+	sortTime time.Duration
+	// index is the position in the queue, -1 if the request does not wait.
 	index int
-	// held is the lease that the request runs on, nil while it waits.
-	held *held
+	// lease is the lease that the request runs on, nil while it waits.
+	lease *lease
 }
 
-// queue is an account's waiting requests for one model, by turn.
+// queue is a heap of an account's waiting requests for one model, by sortTime.
 type queue []*request
 
 func (q queue) Len() int { return len(q) }
 
 func (q queue) Less(i, j int) bool {
-	if q[i].turn != q[j].turn {
-		return q[i].turn < q[j].turn
+	if q[i].sortTime != q[j].sortTime {
+		return q[i].sortTime < q[j].sortTime
 	}
 	return q[i].ID < q[j].ID
 }
--- a/pkg/hold/request.go
+++ b/pkg/hold/request.go
@@ -9,17 +9,17 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// Refusals of a waiting request. None of them has run.
+// Errors for waiting requests, which have not run.
 var (
 	errDeadline = verdict.New(verdict.PhaseQueue, http.StatusGatewayTimeout, "deadline",
 		"the deadline passed while the request waited for a slot")
-	errGivenUp = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "draining",
+	errDraining = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "draining",
 		"this entry instance is stopping; send the request again")
 )
 
 func (e Arrive) apply(h *Holder) {
 	r := &request{Arrive: e, arrived: h.now - e.Waited, index: -1}
-	r.turn = r.arrived - time.Duration(e.Priority)*priorityLead
+	r.sortTime = r.arrived - time.Duration(e.Priority)*priorityLead
 	h.requests[e.ID] = r
 	if e.Deadline <= h.now {
 		h.refuse(r, errDeadline)
@@ -33,7 +33,7 @@
 		}
 	}
 	h.enqueue(r)
-	h.tellSoon(m)
+	h.sendUrgentDemand(m)
 }
 
 func (e LimitedAccounts) apply(h *Holder) { h.limited = e.Accounts }
@@ -45,56 +45,57 @@
 	}
 	m := h.model(r.Model)
 	m.queue(r.Account).remove(r)
-	h.dequeued(r)
+	h.afterDequeue(r)
 	delete(h.requests, e.ID)
-	h.tellSoon(m)
+	h.sendUrgentDemand(m)
 }
 
 func (e Finished) apply(h *Holder) {
 	r, ok := h.requests[e.ID]
-	if !ok || r.held == nil {
+	if !ok || r.lease == nil {
 		return
 	}
 	delete(h.requests, e.ID)
-	l := r.held
+	l := r.lease
 	l.request = nil
 	l.tokens = e.Tokens
-	if !e.Unreachable && h.mayReuse(l) && l.move(chart.Reuse) {
+	if !e.Unreachable && h.mayReuse(l) && l.transition(chart.Reuse) {
 		h.reuse(l, r, e)
 		return
 	}
-	l.move(chart.Finish)
-	u := h.use(l, r.Account, e.Tokens)
+	l.transition(chart.Finish)
+	u := h.leaseUse(l, r.Account, e.Tokens)
 	u.Failed = e.Unreachable
 	h.giveBack(l, u, e.Sent)
 }
 
-// mayReuse reports whether a standing lease stays here: not when the owner
-// wants it back, nor while requests wait, whose order is the owner's to say.
-func (h *Holder) mayReuse(l *held) bool {
+// mayReuse reports whether a standing lease stays here after its request. It
+// does not if the owner recalled it or if requests wait, because the owner
+// decides their order.
+func (h *Holder) mayReuse(l *lease) bool {
 	return l.standing && !l.recalled && !h.draining && h.now < l.expires &&
 		!h.closed[l.Backend] && !h.model(l.source.Pool.Model).waiting()
 }
 
-func (h *Holder) reuse(l *held, r *request, e Finished) {
+func (h *Holder) reuse(l *lease, r *request, e Finished) {
 	if e.Sent {
 		p := h.pool(l.source.Pool)
-		p.ended[l.source] = append(p.ended[l.source], h.use(l, r.Account, e.Tokens))
+		p.ended[l.source] = append(p.ended[l.source], h.leaseUse(l, r.Account, e.Tokens))
 	}
 	l.tokens = 0
 	m := h.model(l.source.Pool.Model)
 	m.idle = append(m.idle, l)
 }
 
-func (h *Holder) use(l *held, account string, tokens int64) wire.LeaseUse {
+func (h *Holder) leaseUse(l *lease, account string, tokens int64) wire.LeaseUse {
 	if l.Account != "" && !l.Swapped {
 		account = ""
 	}
 	return wire.LeaseUse{ID: l.ID, Account: account, Tokens: tokens}
 }
 
-// giveBack returns a lease to its owner at once, since work may wait for it.
-func (h *Holder) giveBack(l *held, u wire.LeaseUse, used bool) {
+// giveBack returns a lease to its owner.
+func (h *Holder) giveBack(l *lease, u wire.LeaseUse, used bool) {
 	p := h.pool(l.source.Pool)
 	msg := &wire.Return{Pool: l.source.Pool, Epoch: l.source.Epoch}
 	if l.standing {
@@ -109,22 +110,22 @@
 	h.send(l.owner, msg)
 }
 
-func (h *Holder) forget(l *held) {
+func (h *Holder) forget(l *lease) {
 	delete(h.leases, l.key())
-	delete(h.pool(l.source.Pool).held, l.key())
+	delete(h.pool(l.source.Pool).leases, l.key())
 }
 
-func (h *Holder) pool(p wire.Pool) *lent {
+func (h *Holder) pool(p wire.Pool) *poolLeases {
 	x, ok := h.byPool[p]
 	if !ok {
-		x = &lent{held: map[key]*held{}, ended: map[wire.Source][]wire.LeaseUse{}}
+		x = &poolLeases{leases: map[leaseKey]*lease{}, ended: map[wire.Source][]wire.LeaseUse{}}
 		h.byPool[p] = x
 	}
 	return x
 }
 
-// takeIdle returns a standing lease that may start a request now.
-func (h *Holder) takeIdle(m *model) *held {
+// takeIdle returns a standing lease that can start a request now, or nil.
+func (h *Holder) takeIdle(m *model) *lease {
 	if m.waiting() {
 		return nil
 	}
@@ -134,21 +135,21 @@
 		if h.now+startMargin < l.expires && !h.closed[l.Backend] {
 			return l
 		}
-		l.move(chart.Expire)
-		h.giveBack(l, h.use(l, "", 0), false)
+		l.transition(chart.Expire)
+		h.giveBack(l, h.leaseUse(l, "", 0), false)
 	}
 	return nil
 }
 
-func (h *Holder) start(r *request, l *held) {
-	if !l.move(chart.Start) {
+func (h *Holder) start(r *request, l *lease) {
+	if !l.transition(chart.Start) {
 		return
 	}
 	l.request = r
 	l.started = h.now
 	l.tokens = 0
-	r.held = l
-	h.act(Start{ID: r.ID, Lease: l.Lease, Expires: l.expires, Waited: h.now - r.arrived})
+	r.lease = l
+	h.emit(Start{ID: r.ID, Lease: l.Lease, Expires: l.expires, Waited: h.now - r.arrived})
 }
 
 // expireWaiting refuses the requests whose deadline has passed.
@@ -170,7 +171,7 @@
 	}
 	for _, r := range late {
 		q.remove(r)
-		h.dequeued(r)
+		h.afterDequeue(r)
 		h.refuse(r, errDeadline)
 	}
 }
--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -1,6 +1,7 @@
-// Package member keeps the live routers of one availability zone: each router
-// probes a few others, suspicion spreads on the same messages, and who is
-// suspected wrongly refutes it. It is a pure state machine.
+// Package member tracks the live routers of one availability zone by gossip,
+// similar to SWIM: each router probes others in turn, probes and acks carry
+// rumours of state changes, and a router refutes rumours that suspect it. It is
+// a pure state machine.
 package member
 
 import (
@@ -11,27 +12,28 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// The defaults; docs/MEMBERSHIP.md gives the detection time they lead to.
+// The defaults; docs/MEMBERSHIP.md gives the resulting detection time.
 const (
 	// DefaultProbeInterval is the interval between two probes of a router.
 	DefaultProbeInterval = 250 * time.Millisecond
 	// DefaultAckTimeout is how long a probe may stay unanswered.
 	DefaultAckTimeout = 300 * time.Millisecond
-	// DefaultSuspectTimeout is how long a suspect may take to refute.
+	// DefaultSuspectTimeout is how long a suspect has to refute.
 	DefaultSuspectTimeout = 700 * time.Millisecond
-	// DefaultRetention is when a dead member is forgotten for good.
+	// DefaultRetention is how long dead members that are not on the platform's
+	// list are remembered.
 	DefaultRetention = 10 * time.Minute
-	// rumourSends is how often a change is passed on by each router, and
-	// rumoursEach how many go with one message.
-	rumourSends = 8
-	rumoursEach = 6
+	// gossipSends is how many messages of each router carry a state change;
+	// rumoursPerMessage is the maximum number of rumours in a message.
+	gossipSends       = 8
+	rumoursPerMessage = 6
 )
 
-// Peer is a router as the platform's list gives it.
+// Peer is a router on the platform's list.
 type Peer struct {
 	// Name is unique in the fleet.
 	Name string
-	// Leaving says that the platform is about to take the router away.
+	// Leaving is whether the platform is about to remove the router.
 	Leaving bool
 }
 
@@ -41,98 +43,98 @@
 	Msg any
 }
 
-// Members is the state of one router's view of its zone.
+// Members is one router's view of its zone.
 type Members struct {
-	self    string
-	inc     uint64
-	ref     uint64
-	leaving bool
-	now     time.Duration
-	rng     *rand.Rand
-
-	peers   map[string]*peer
-	order   []string
-	next    int
-	seq     uint64
-	probes  map[uint64]probe
-	lastRun time.Duration
-	table   uint64
-	changed bool
-	out     []Send
+	self        string
+	incarnation uint64
+	refutations uint64
+	leaving     bool
+	now         time.Duration
+	rng         *rand.Rand
+
+	peers         map[string]*peer
+	order         []string
+	nextIndex     int
+	seq           uint64
+	probes        map[uint64]probe
+	lastProbe     time.Duration
+	tableRevision uint64
+	changed       bool
+	out           []Send
 }
 
 type peer struct {
-	name  string
-	inc   uint64
-	ref   uint64
-	state wire.MemberState
-	since time.Duration
-	// heard is when a message of it last came.
-	heard time.Duration
-	// sends is how often the state is still to be passed on.
-	sends  int
-	listed bool
+	name        string
+	incarnation uint64
+	refutations uint64
+	state       wire.MemberState
+	stateSince  time.Duration
+	// lastSeen is the time of the last message from the peer.
+	lastSeen time.Duration
+	// gossipLeft is how many more messages carry the state.
+	gossipLeft int
+	listed     bool
 }
 
 type probe struct {
 	to string
 	at time.Duration
-	// second says that an earlier one was not answered either.
-	second bool
+	// retry is whether the previous probe was not answered either.
+	retry bool
 }
 
-// New returns the view of a router that knows nobody yet. The incarnation
-// must be greater than at any earlier start of the same name.
+// New returns a view without members. The incarnation must be greater than that
+// of any earlier process with the same name.
 func New(self string, inc uint64, seed uint64) *Members {
 	return &Members{
-		self: self, inc: inc,
+		self: self, incarnation: inc,
 		rng:    rand.New(rand.NewPCG(seed, inc)),
 		peers:  map[string]*peer{},
 		probes: map[uint64]probe{},
 	}
 }
 
-// Event is what Members takes in one Step.
+// Event is an input of Members.Step.
 type Event interface{ apply(m *Members) }
 
-// PlatformList is the platform's list for the zone. It may lag: who is on it may be
-// dead, and who is not may live.
+// PlatformList is the platform's list of the zone's routers. It may be out of
+// date: listed routers may be dead and unlisted ones alive.
 type PlatformList struct{ Peers []Peer }
 
-// Tick lets time pass. It is due at least every DefaultProbeEvery.
+// Tick advances the time. It is due at least every DefaultProbeInterval.
 type Tick struct{}
 
-// Probe is a probe that came from a router.
+// Probe is a probe received from a router.
 type Probe struct {
 	From string
 	Msg  *wire.Probe
 }
 
-// Ack is an answer that came from a router.
+// Ack is the response to a probe.
 type Ack struct {
 	From string
 	Msg  *wire.Ack
 }
 
-// ConnectionRefused says that the router's address refused a connection, so that no
+// ConnectionRefused reports that a router's address refused a connection, so no
 // process listens there.
 type ConnectionRefused struct{ Peer string }
 
-// TableRevision says which revision is in force here, to be told with probes.
+// TableRevision sets the table revision to send with probes.
 type TableRevision struct{ Revision uint64 }
 
-// Join says that this router is ready to take its part.
+// Join reports that this router is ready to serve.
 type Join struct{}
 
-// Leave says that this router is about to stop.
+// Leave reports that this router is about to stop.
 type Leave struct{}
 
-// Resumed says that this router was paused: its silence and everyone else's
-// prove nothing, so all waiting probes are void.
+// Resumed reports that this router was paused. It may have missed messages, so
+// outstanding probes are discarded.
 type Resumed struct{}
 
-// Step takes one event at the time now. The returned slice is valid until
-// the next Step.
+// Step applies one event at the time now and returns the messages to send. The
+// returned slice is valid until the next Step.
 func (m *Members) Step(now time.Duration, ev Event) []Send {
 	m.now = max(m.now, now)
 	m.out = m.out[:0]
@@ -140,23 +142,23 @@
 	return m.out
 }
 
-// TakeChanged reports whether the live members changed since it was last
-// asked.
+// TakeChanged reports whether the live members changed since the last call.
 func (m *Members) TakeChanged() bool {
 	c := m.changed
 	m.changed = false
 	return c
 }
 
-// Live returns the names of the members that may own pools, with this
-// router, sorted. Suspects still count: suspicion alone moves nothing.
+// Live returns the sorted names of the members that may own pools, including
+// this router unless it leaves. Suspects are included, so that a suspicion
+// alone moves no pool.
 func (m *Members) Live() []string {
 	names := make([]string, 0, len(m.peers)+1)
 	if !m.leaving {
 		names = append(names, m.self)
 	}
 	for name, p := range m.peers {
-		if p.state <= wire.Suspect && p.inc > 0 {
+		if p.state <= wire.Suspect && p.incarnation > 0 {
 			names = append(names, name)
 		}
 	}
@@ -164,8 +166,8 @@
 	return names
 }
 
-// Expected returns the names of all routers that may live, with this one:
-// also those on the platform's list that have not been heard of.
+// Expected returns the sorted names of all routers that may be alive, including
+// this router and listed routers that have not sent a message yet.
 func (m *Members) Expected() []string {
 	names := []string{m.self}
 	for name, p := range m.peers {
@@ -177,33 +179,33 @@
 	return names
 }
 
-// Incarnation returns the incarnation of a member, 0 if it is not known.
+// Incarnation returns the incarnation of a member, 0 if unknown.
 func (m *Members) Incarnation(name string) uint64 {
 	if name == m.self {
-		return m.inc
+		return m.incarnation
 	}
 	if p, ok := m.peers[name]; ok {
-		return p.inc
+		return p.incarnation
 	}
 	return 0
 }
 
-// Status is one member as this router sees it.
+// Status is the state of a member as this router sees it.
 type Status struct {
 	Name        string `json:"name"`
 	State       string `json:"state"`
 	Incarnation uint64 `json:"incarnation"`
-	// LastSeenMillisAgo is the time since its last message.
+	// LastSeenMillisAgo is the time since the member's last message.
 	LastSeenMillisAgo int64 `json:"heard_ms_ago"`
 }
 
-// Statuses returns every member known, sorted by name.
+// Statuses returns the state of all known members, sorted by name.
 func (m *Members) Statuses() []Status {
 	all := make([]Status, 0, len(m.peers))
 	for _, p := range m.peers {
 		all = append(all, Status{
-			Name: p.name, State: p.state.String(), Incarnation: p.inc,
-			LastSeenMillisAgo: (m.now - p.heard).Milliseconds(),
+			Name: p.name, State: p.state.String(), Incarnation: p.incarnation,
+			LastSeenMillisAgo: (m.now - p.lastSeen).Milliseconds(),
 		})
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Name < all[j].Name })
@@ -217,22 +219,22 @@
 func (m *Members) peer(name string) *peer {
 	p, ok := m.peers[name]
 	if !ok {
-		p = &peer{name: name, state: wire.Alive, since: m.now, heard: m.now}
+		p = &peer{name: name, state: wire.Alive, stateSince: m.now, lastSeen: m.now}
 		m.peers[name] = p
 		m.order = nil
 	}
 	return p
 }
 
-// set moves a peer to a state and starts to pass the news on.
-func (m *Members) set(p *peer, state wire.MemberState) {
+// setState changes a peer's state and starts to gossip the change.
+func (m *Members) setState(p *peer, state wire.MemberState) {
 	if p.state == state {
 		return
 	}
 	wasLive := p.state <= wire.Suspect
 	p.state = state
-	p.since = m.now
-	p.sends = rumourSends
+	p.stateSince = m.now
+	p.gossipLeft = gossipSends
 	if wasLive != (state <= wire.Suspect) {
 		m.changed = true
 		m.order = nil
--- a/pkg/member/member_test.go
+++ b/pkg/member/member_test.go
@@ -11,40 +11,40 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// zone is some members on a simulated clock whose messages take a random time
-// and may be lost.
+// zone simulates members on a virtual clock. Messages have random delays and
+// may be lost.
 type zone struct {
-	now     time.Duration
-	rng     *rand.Rand
-	loss    float64
-	slow    time.Duration
-	members map[string]*member.Members
-	names   []string
-	silent  map[string]bool
-	queue   mail
+	now       time.Duration
+	rng       *rand.Rand
+	loss      float64
+	meanDelay time.Duration
+	members   map[string]*member.Members
+	names     []string
+	silent    map[string]bool
+	queue     messageQueue
 }
 
-type letter struct {
+type envelope struct {
 	at       time.Duration
 	from, to string
 	msg      any
 }
 
-type mail []letter
+type messageQueue []envelope
 
-func (m mail) Len() int           { return len(m) }
-func (m mail) Less(i, j int) bool { return m[i].at < m[j].at }
-func (m mail) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
-func (m *mail) Push(x any)        { *m = append(*m, x.(letter)) }
-func (m *mail) Pop() any {
-	old := *m
+func (q messageQueue) Len() int           { return len(q) }
+func (q messageQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q messageQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *messageQueue) Push(x any)        { *q = append(*q, x.(envelope)) }
+func (q *messageQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*m = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
 func newZone(n int, seed uint64, loss float64, slow time.Duration) *zone {
-	z := &zone{rng: rand.New(rand.NewPCG(seed, 1)), loss: loss, slow: slow, members: map[string]*member.Members{}, silent: map[string]bool{}}
+	z := &zone{rng: rand.New(rand.NewPCG(seed, 1)), loss: loss, meanDelay: slow, members: map[string]*member.Members{}, silent: map[string]bool{}}
 	var peers []member.Peer
 	for i := range n {
 		name := fmt.Sprintf("r%02d", i)
@@ -64,17 +64,17 @@
 		if z.rng.Float64() < z.loss {
 			continue
 		}
-		delay := time.Millisecond + time.Duration(z.rng.ExpFloat64()*float64(z.slow))
-		heap.Push(&z.queue, letter{at: z.now + delay, from: from, to: m.To, msg: m.Msg})
+		delay := time.Millisecond + time.Duration(z.rng.ExpFloat64()*float64(z.meanDelay))
+		heap.Push(&z.queue, envelope{at: z.now + delay, from: from, to: m.To, msg: m.Msg})
 	}
 }
 
-// run lets time pass in steps of 50 ms, calling each after every one.
+// run advances the time in steps of 50 ms and calls each after every step.
 func (z *zone) run(d time.Duration, each func()) {
 	for end := z.now + d; z.now < end; {
 		z.now += 50 * time.Millisecond
 		for len(z.queue) > 0 && z.queue[0].at <= z.now {
-			z.deliver(heap.Pop(&z.queue).(letter))
+			z.deliver(heap.Pop(&z.queue).(envelope))
 		}
 		for _, name := range z.names {
 			if !z.silent[name] {
@@ -85,19 +85,20 @@
 	}
 }
 
-func (z *zone) deliver(l letter) {
-	if z.silent[l.to] || z.silent[l.from] {
+func (z *zone) deliver(e envelope) {
+	if z.silent[e.to] || z.silent[e.from] {
 		return
 	}
-	switch m := l.msg.(type) {
+	switch m := e.msg.(type) {
 	case *wire.Probe:
-		z.send(l.to, z.members[l.to].Step(z.now, member.Probe{From: l.from, Msg: m}))
+		z.send(e.to, z.members[e.to].Step(z.now, member.Probe{From: e.from, Msg: m}))
 	case *wire.Ack:
-		z.send(l.to, z.members[l.to].Step(z.now, member.Ack{From: l.from, Msg: m}))
+		z.send(e.to, z.members[e.to].Step(z.now, member.Ack{From: e.from, Msg: m}))
 	}
 }
 
-// live returns how many members see how many live ones at least and at most.
+// live returns the smallest and the largest number of live members that a
+// responsive member sees.
 func (z *zone) live() (least, most int) {
 	least = len(z.names)
 	for _, name := range z.names {
@@ -110,7 +111,9 @@
 	return least, most
 }
 
-func TestSilentMemberIsFoundByAll(t *testing.T) {
+// TestAllMembersDetectSilentMember guards against a member that misses another's
+// death or return.
+func TestAllMembersDetectSilentMember(t *testing.T) {
 	const within = 4 * time.Second
 	for _, n := range []int{2, 3, 10, 29} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -127,13 +130,15 @@
 			z.silent["r01"] = false
 			z.run(within, func() {})
 			if least, _ := z.live(); least != n {
-				t.Errorf("back for %s, a member sees %d of %d", within, least, n)
+				t.Errorf("%s after its return a member sees %d of %d", within, least, n)
 			}
 		})
 	}
 }
 
-func TestLossAloneMovesNobody(t *testing.T) {
+// TestMessageLossKillsNoMember guards against live members declared dead because
+// of lost messages.
+func TestMessageLossKillsNoMember(t *testing.T) {
 	z := newZone(29, 3, 0.01, 5*time.Millisecond)
 	z.run(5*time.Second, func() {})
 	z.run(time.Minute, func() {
@@ -143,9 +148,9 @@
 	})
 }
 
-// BenchmarkDetection reports, at 29 routers a zone, how long it takes until
-// the first and until every router takes a silent one for dead, and how many
-// live ones are taken for dead in an hour with slow and lost messages.
+// BenchmarkDetection measures, with 29 routers, how long the first and the last
+// router take to detect a dead member, and how many live members per hour are
+// declared dead when messages are delayed and lost.
 func BenchmarkDetection(b *testing.B) {
 	const trials = 20
 	var first, all float64
@@ -167,22 +172,22 @@
 func detect(seed uint64) (first, all time.Duration) {
 	z := newZone(29, seed, 0, time.Millisecond)
 	z.run(5*time.Second, func() {})
-	begun := z.now
+	start := z.now
 	z.silent["r01"] = true
 	z.run(10*time.Second, func() {
 		least, most := z.live()
 		if least < 29 && first == 0 {
-			first = z.now - begun
+			first = z.now - start
 		}
 		if most < 29 && all == 0 {
-			all = z.now - begun
+			all = z.now - start
 		}
 	})
 	return first, all
 }
 
-// falseDeaths counts the moments of ten minutes at which someone sees less
-// than all, each time anew, and returns them by the hour.
+// falseDeaths simulates ten minutes and returns how often per hour some member
+// starts to see fewer than all members.
 func falseDeaths(loss float64) float64 {
 	z := newZone(29, 11, loss, 20*time.Millisecond)
 	z.run(5*time.Second, func() {})
--- a/pkg/member/step.go
+++ b/pkg/member/step.go
@@ -19,11 +19,11 @@
 		p := m.peer(x.Name)
 		p.listed = true
 		if x.Leaving && p.state <= wire.Suspect {
-			p.sends = rumourSends
+			p.gossipLeft = gossipSends
 		}
 	}
 	for name, p := range m.peers {
-		if !p.listed && p.state >= wire.Dead && m.now-p.since >= DefaultRetention {
+		if !p.listed && p.state >= wire.Dead && m.now-p.stateSince >= DefaultRetention {
 			delete(m.peers, name)
 			m.order = nil
 		}
@@ -33,10 +33,10 @@
 func (Tick) apply(m *Members) {
 	m.timeOutProbes()
 	m.timeOutSuspects()
-	if m.now-m.lastRun < DefaultProbeInterval {
+	if m.now-m.lastProbe < DefaultProbeInterval {
 		return
 	}
-	m.lastRun = m.now
+	m.lastProbe = m.now
 	if to := m.nextTarget(); to != "" {
 		m.probe(to, false)
 	}
@@ -44,52 +44,51 @@
 
 func (m *Members) timeOutProbes() {
 	for _, seq := range slices.Sorted(maps.Keys(m.probes)) {
-		pr := m.probes[seq]
-		if m.now-pr.at < DefaultAckTimeout {
+		pending := m.probes[seq]
+		if m.now-pending.at < DefaultAckTimeout {
 			continue
 		}
 		delete(m.probes, seq)
-		p, ok := m.peers[pr.to]
-		if ok && p.heard < pr.at && p.state == wire.Alive {
-			m.doubt(p, pr.second)
+		p, ok := m.peers[pending.to]
+		if ok && p.lastSeen < pending.at && p.state == wire.Alive {
+			m.handleTimeout(p, pending.retry)
 		}
 	}
 }
 
-// doubt probes a silent member once more, and suspects it after that. One
-// never heard of is only a name on the platform's list, and needs no time to
-// refute.
-func (m *Members) doubt(p *peer, second bool) {
+// handleTimeout probes a silent member once more and then suspects it. A listed
+// router that has never sent a message is declared dead at once.
+func (m *Members) handleTimeout(p *peer, second bool) {
 	switch {
-	case p.inc == 0:
-		m.set(p, wire.Dead)
+	case p.incarnation == 0:
+		m.setState(p, wire.Dead)
 	case !second:
 		m.probe(p.name, true)
 	default:
-		m.set(p, wire.Suspect)
+		m.setState(p, wire.Suspect)
 		m.probe(p.name, true)
 	}
 }
 
 func (m *Members) timeOutSuspects() {
 	for _, p := range m.peers {
-		if p.state == wire.Suspect && m.now-p.since >= DefaultSuspectTimeout {
-			m.set(p, wire.Dead)
+		if p.state == wire.Suspect && m.now-p.stateSince >= DefaultSuspectTimeout {
+			m.setState(p, wire.Dead)
 		}
 	}
 }
 
-// nextTarget goes round all members in a shuffled order, the dead among
-// them, so that both sides of a healed partition find each other.
+// nextTarget iterates over all members in random order. It includes dead ones,
+// so that both sides of a healed partition find each other.
 func (m *Members) nextTarget() string {
-	if m.next >= len(m.order) || m.order == nil {
+	if m.nextIndex >= len(m.order) || m.order == nil {
 		m.reorder()
 	}
 	if len(m.order) == 0 {
 		return ""
 	}
-	to := m.order[m.next]
-	m.next++
+	to := m.order[m.nextIndex]
+	m.nextIndex++
 	return to
 }
 
@@ -102,58 +101,59 @@
 	}
 	sort.Strings(m.order)
 	m.rng.Shuffle(len(m.order), func(i, j int) { m.order[i], m.order[j] = m.order[j], m.order[i] })
-	m.next = 0
+	m.nextIndex = 0
 }
 
 func (m *Members) probe(to string, second bool) {
 	m.seq++
-	m.probes[m.seq] = probe{to: to, at: m.now, second: second}
-	m.send(to, &wire.Probe{Seq: m.seq, Incarnation: m.inc, Refutations: m.ref, Table: m.table, Rumours: m.rumours(to)})
+	m.probes[m.seq] = probe{to: to, at: m.now, retry: second}
+	m.send(to, &wire.Probe{Seq: m.seq, Incarnation: m.incarnation, Refutations: m.refutations, Table: m.tableRevision, Rumours: m.rumours(to)})
 }
 
 func (e Probe) apply(m *Members) {
-	m.heardFrom(e.From, e.Msg.Incarnation, e.Msg.Refutations)
-	m.learn(e.Msg.Rumours)
-	m.send(e.From, &wire.Ack{Seq: e.Msg.Seq, Incarnation: m.inc, Refutations: m.ref, Table: m.table, Rumours: m.rumours(e.From)})
+	m.observe(e.From, e.Msg.Incarnation, e.Msg.Refutations)
+	m.applyRumours(e.Msg.Rumours)
+	m.send(e.From, &wire.Ack{Seq: e.Msg.Seq, Incarnation: m.incarnation, Refutations: m.refutations, Table: m.tableRevision, Rumours: m.rumours(e.From)})
 }
 
 func (e Ack) apply(m *Members) {
 	delete(m.probes, e.Msg.Seq)
-	m.heardFrom(e.From, e.Msg.Incarnation, e.Msg.Refutations)
-	m.learn(e.Msg.Rumours)
+	m.observe(e.From, e.Msg.Incarnation, e.Msg.Refutations)
+	m.applyRumours(e.Msg.Rumours)
 }
 
-// heardFrom takes a message as proof of life of the incarnation in it.
-func (m *Members) heardFrom(name string, inc, ref uint64) {
+// observe records a message from a router as proof that the incarnation is
+// alive.
+func (m *Members) observe(name string, inc, ref uint64) {
 	if name == m.self {
 		return
 	}
 	p := m.peer(name)
-	if inc < p.inc {
+	if inc < p.incarnation {
 		return
 	}
-	p.heard = m.now
-	fresh := inc > p.inc
+	p.lastSeen = m.now
+	fresh := inc > p.incarnation
 	if fresh {
-		p.inc = inc
-		p.ref = ref
-		p.sends = rumourSends
+		p.incarnation = inc
+		p.refutations = ref
+		p.gossipLeft = gossipSends
 		m.changed = true
 	}
-	p.ref = max(p.ref, ref)
+	p.refutations = max(p.refutations, ref)
 	if p.state != wire.Left || fresh {
-		m.set(p, wire.Alive)
+		m.setState(p, wire.Alive)
 	}
 }
 
 func (e ConnectionRefused) apply(m *Members) {
 	p, ok := m.peers[e.Peer]
 	if ok && p.state <= wire.Suspect {
-		m.set(p, wire.Dead)
+		m.setState(p, wire.Dead)
 	}
 }
 
-func (e TableRevision) apply(m *Members) { m.table = e.Revision }
+func (e TableRevision) apply(m *Members) { m.tableRevision = e.Revision }
 
 func (Join) apply(m *Members) { m.probeAll() }
 
@@ -163,7 +163,7 @@
 	m.probeAll()
 }
 
-// probeAll tells every member at once what this router is now.
+// probeAll sends this router's current state to all live members.
 func (m *Members) probeAll() {
 	for _, name := range slices.Sorted(maps.Keys(m.peers)) {
 		if m.peers[name].state <= wire.Suspect {
@@ -175,93 +175,94 @@
 func (Resumed) apply(m *Members) {
 	clear(m.probes)
 	for _, p := range m.peers {
-		p.heard = m.now
+		p.lastSeen = m.now
 		if p.state == wire.Suspect {
-			p.since = m.now
+			p.stateSince = m.now
 		}
 	}
 }
 
-// rumours picks the news that was passed on least, and always tells a
-// suspect that it is one, so that it can refute.
+// rumours returns the rumours for a message: the least gossiped ones first. A
+// receiver that is suspected or declared dead always gets the rumour about
+// itself, so that it can refute it.
 func (m *Members) rumours(to string) []wire.Rumour {
-	var news []wire.Rumour
+	var rumours []wire.Rumour
 	if m.leaving {
-		news = append(news, wire.Rumour{Name: m.self, Incarnation: m.inc, Refutations: m.ref, State: wire.Left})
+		rumours = append(rumours, wire.Rumour{Name: m.self, Incarnation: m.incarnation, Refutations: m.refutations, State: wire.Left})
 	}
 	if p, ok := m.peers[to]; ok && (p.state == wire.Suspect || p.state == wire.Dead) {
-		news = append(news, p.rumour())
+		rumours = append(rumours, p.rumour())
 	}
-	for _, p := range m.freshest() {
-		if len(news) >= rumoursEach {
+	for _, p := range m.pendingRumours() {
+		if len(rumours) >= rumoursPerMessage {
 			break
 		}
-		p.sends--
-		news = append(news, p.rumour())
+		p.gossipLeft--
+		rumours = append(rumours, p.rumour())
 	}
-	return news
+	return rumours
 }
 
 func (p *peer) rumour() wire.Rumour {
-	return wire.Rumour{Name: p.name, Incarnation: p.inc, Refutations: p.ref, State: p.state}
+	return wire.Rumour{Name: p.name, Incarnation: p.incarnation, Refutations: p.refutations, State: p.state}
 }
 
-func (m *Members) freshest() []*peer {
-	var fresh []*peer
+func (m *Members) pendingRumours() []*peer {
+	var list []*peer
 	for _, p := range m.peers {
-		if p.sends > 0 && p.inc > 0 {
-			fresh = append(fresh, p)
+		if p.gossipLeft > 0 && p.incarnation > 0 {
+			list = append(list, p)
 		}
 	}
-	sort.Slice(fresh, func(i, j int) bool {
-		if fresh[i].sends != fresh[j].sends {
-			return fresh[i].sends > fresh[j].sends
+	sort.Slice(list, func(i, j int) bool {
+		if list[i].gossipLeft != list[j].gossipLeft {
+			return list[i].gossipLeft > list[j].gossipLeft
 		}
-		return fresh[i].name < fresh[j].name
+		return list[i].name < list[j].name
 	})
-	return fresh
+	return list
 }
 
-func (m *Members) learn(rumours []wire.Rumour) {
+func (m *Members) applyRumours(rumours []wire.Rumour) {
 	for _, r := range rumours {
 		if r.Name == m.self {
 			m.refute(r)
 			continue
 		}
-		m.learnOne(r)
+		m.applyRumour(r)
 	}
 }
 
-// refute answers a rumour of this router's end with a greater count, and tells
-// all at once, since the time to do so is short.
+// refute answers a rumour that this router is not alive by a higher refutation
+// count, sent to all members at once to beat the suspect timeout.
 func (m *Members) refute(r wire.Rumour) {
-	if r.State == wire.Alive || r.Incarnation != m.inc || r.Refutations < m.ref || m.leaving {
+	if r.State == wire.Alive || r.Incarnation != m.incarnation || r.Refutations < m.refutations || m.leaving {
 		return
 	}
-	m.ref = r.Refutations + 1
+	m.refutations = r.Refutations + 1
 	m.probeAll()
 }
 
-func (m *Members) learnOne(r wire.Rumour) {
+func (m *Members) applyRumour(r wire.Rumour) {
 	p := m.peer(r.Name)
 	if !p.newer(r) {
 		return
 	}
-	if r.Incarnation > p.inc {
+	if r.Incarnation > p.incarnation {
 		m.changed = true
 	}
-	p.inc, p.ref = r.Incarnation, r.Refutations
-	p.sends = max(p.sends, rumourSends/2)
-	m.set(p, min(r.State, wire.Left))
+	p.incarnation, p.refutations = r.Incarnation, r.Refutations
+	p.gossipLeft = max(p.gossipLeft, gossipSends/2)
+	m.setState(p, min(r.State, wire.Left))
 }
 
-// newer reports whether the rumour says more than is known.
+// newer reports whether the rumour is more recent than the known state.
 func (p *peer) newer(r wire.Rumour) bool {
-	if r.Incarnation != p.inc {
-		return r.Incarnation > p.inc
+	if r.Incarnation != p.incarnation {
+		return r.Incarnation > p.incarnation
 	}
-	if r.Refutations != p.ref {
-		return r.Refutations > p.ref
+	if r.Refutations != p.refutations {
+		return r.Refutations > p.refutations
 	}
 	return r.State > p.state
 }
--- a/pkg/pool/bench_test.go
+++ b/pkg/pool/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/yarrowmast/yarrowmast/internal/capacity"
 )
 
-// BenchmarkDecide is one slot given back and granted again, as accounts with
-// work waiting grow.
+// BenchmarkDecide returns and regrants one slot, with a growing number of
+// accounts that have requests waiting.
 func BenchmarkDecide(b *testing.B) {
 	for _, accounts := range []int{10, 100, 1000, 3600} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
--- a/pkg/pool/decide.go
+++ b/pkg/pool/decide.go
@@ -6,13 +6,14 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// decide grants free slots to the account with the least service until the
-// slots or the waiting work end, then spreads what is left as standing leases.
+// decide grants free slots to the account with the lowest virtual time until no
+// slot is free or no request waits. If slots stay free for a while, it grants
+// them as standing leases.
 func (o *Owner) decide() {
-	if o.quiet {
-		o.endQuiet()
+	if o.takingOver {
+		o.endTakeover()
 	}
-	if o.quiet {
+	if o.takingOver {
 		return
 	}
 	free := o.freeSlots()
@@ -21,84 +22,85 @@
 	}
 	o.flushGrants()
 	if _, waits := o.queue.Min(); waits {
-		o.contend()
+		o.onContention()
 		return
 	}
-	if free > 0 && o.now-o.contended >= o.opt.calm {
-		o.spread()
+	if free > 0 && o.now-o.lastContention >= o.opt.calmPeriod {
+		o.grantStanding()
 	}
 }
 
-// endQuiet lets the owner grant once every lease of a former owner has run
-// out, or once all that is known to run was reported.
-func (o *Owner) endQuiet() {
-	if o.now-o.started >= o.opt.quiet || o.allKnown() {
-		o.quiet = false
+// endTakeover lets the owner grant once all leases of the former owner have
+// expired, or once all servers and routers have reported.
+func (o *Owner) endTakeover() {
+	if o.now-o.started >= o.opt.takeoverDelay || o.allReported() {
+		o.takingOver = false
 	}
 }
 
-func (o *Owner) allKnown() bool {
+func (o *Owner) allReported() bool {
 	if len(o.servers) == 0 || len(o.expected) == 0 {
 		return false
 	}
 	for _, s := range o.servers {
-		if !s.loaded {
+		if !s.loadKnown {
 			return false
 		}
 	}
 	for _, n := range o.expected {
-		if h, ok := o.holders[n]; !ok || !h.adopted {
+		if h, ok := o.holders[n]; !ok || !h.reportedLeases {
 			return false
 		}
 	}
 	return true
 }
 
-// grantNext grants one slot to the account that is next, or takes an account
-// out that nobody claims for any more. It reports whether it did anything.
+// grantNext grants one slot to the next account, or deactivates the account if
+// it has no demand left. It reports whether it made progress.
 func (o *Owner) grantNext() bool {
 	next, ok := o.queue.Min()
 	if !ok {
 		return false
 	}
 	a := o.account(next.Name)
-	c := o.best(a)
+	c := o.bestDemand(a)
 	if c == nil {
-		o.refresh(a)
+		o.updateQueue(a)
 		return !next.Active
 	}
-	s := o.roomiest()
+	s := o.freestServer()
 	if s == nil {
 		return false
 	}
 	o.grant(a, c, s)
-	o.refresh(a)
+	o.updateQueue(a)
 	return true
 }
 
-func (o *Owner) grant(a *account, c *claim, s *server) {
-	l := o.newLease(s, c.who.node, a.name)
-	l.charged = o.upfront(a)
+func (o *Owner) grant(a *account, c *demand, s *server) {
+	l := o.newLease(s, c.id.node, a.name)
+	l.charged = o.initialCharge(a)
 	a.running++
 	a.requests++
 	a.limit.spend(0, 1)
 	o.charge(a.name, l.charged)
-	if c.who.pool == o.pool {
+	if c.id.pool == o.pool {
 		o.stats.Granted++
 	} else {
 		o.stats.Lent++
 	}
-	ttl := o.ttlFor(c.who)
-	l.until = o.now + ttl
-	g := o.batched(c.who, o.source(), ttl)
-	c.unseen = append(c.unseen, g.Seq)
+	ttl := o.ttlFor(c.id)
+	l.expires = o.now + ttl
+	g := o.pendingGrant(c.id, o.source(), ttl)
+	c.unseenGrants = append(c.unseenGrants, g.Seq)
 	g.Leases = append(g.Leases, l.wire())
 }
 
-// ttlFor returns the time of a lease from the claimant's last stamp. A sibling
-// stamps its shares, which grow rarer with the number of siblings.
-func (o *Owner) ttlFor(who claimant) time.Duration {
-	if who.pool == o.pool {
+// ttlFor returns the lease time, counted from the requester's last stamp. A
+// sibling sends stamps only with its shares, so its leases last one share
+// interval longer.
+func (o *Owner) ttlFor(id requesterID) time.Duration {
+	if id.pool == o.pool {
 		return o.opt.ttl
 	}
 	return o.opt.ttl + o.shareInterval()
@@ -106,7 +108,7 @@
 
 func (o *Owner) newLease(s *server, holder, account string) *lease {
 	o.nextID++
-	l := &lease{id: o.nextID, number: o.nextID, epoch: o.epoch, server: s, name: s.Name, holder: holder, account: account, heard: o.now, granted: o.now}
+	l := &lease{id: o.nextID, grantedID: o.nextID, epoch: o.epoch, server: s, backend: s.Name, holder: holder, account: account, lastReport: o.now, granted: o.now}
 	o.leases[l.id] = l
 	s.used++
 	s.peak = max(s.peak, s.used)
@@ -114,29 +116,29 @@
 }
 
 func (l *lease) wire() wire.Lease {
-	return wire.Lease{ID: l.id, Backend: l.name, Account: l.account}
+	return wire.Lease{ID: l.id, Backend: l.backend, Account: l.account}
 }
 
 func (o *Owner) source() wire.Source {
 	return wire.Source{Owner: o.self, Pool: o.pool, Epoch: o.epoch}
 }
 
-// batchKey names one message of a step.
+// batchKey identifies one grant message of a step.
 type batchKey struct {
-	who    claimant
+	id     requesterID
 	source wire.Source
 }
 
-// batched returns the grant of leases of the source that this step will send
-// to the claimant.
-func (o *Owner) batched(who claimant, source wire.Source, ttl time.Duration) *wire.Grant {
-	k := batchKey{who, source}
+// pendingGrant returns the grant message that this step sends to the requester
+// for leases of the source.
+func (o *Owner) pendingGrant(id requesterID, source wire.Source, ttl time.Duration) *wire.Grant {
+	k := batchKey{id, source}
 	g, ok := o.batch[k]
 	if !ok {
-		c := o.claimer(who)
+		c := o.requester(id)
 		c.grantSeq++
 		g = &wire.Grant{
-			For: who.pool, Lent: who.pool != o.pool, Seq: c.grantSeq, Stamp: o.stampOf(who),
+			For: id.pool, Lent: id.pool != o.pool, Seq: c.grantSeq, Stamp: o.stampOf(id),
 			TTLMillis: int(ttl.Milliseconds()), Source: source,
 		}
 		o.batch[k] = g
@@ -145,12 +147,12 @@
 	return g
 }
 
-// stampOf returns the last stamp that the claimant sent.
-func (o *Owner) stampOf(who claimant) wire.Stamp {
-	if who.pool == o.pool {
-		return o.holder(who.node).stamp
+// stampOf returns the last stamp received from the requester.
+func (o *Owner) stampOf(id requesterID) wire.Stamp {
+	if id.pool == o.pool {
+		return o.holder(id.node).stamp
 	}
-	if s, ok := o.siblings[who.pool]; ok {
+	if s, ok := o.siblings[id.pool]; ok {
 		return s.stamp
 	}
 	return 0
@@ -158,14 +160,14 @@
 
 func (o *Owner) flushGrants() {
 	for _, k := range o.batchOrder {
-		o.send(k.who.node, o.batch[k])
+		o.send(k.id.node, o.batch[k])
 		delete(o.batch, k)
 	}
 	o.batchOrder = o.batchOrder[:0]
 }
 
-// roomiest returns the open server with the most free slots.
-func (o *Owner) roomiest() *server {
+// freestServer returns the server with the most free slots.
+func (o *Owner) freestServer() *server {
 	var best *server
 	for _, n := range o.sortedNames() {
 		s := o.servers[n]
@@ -176,9 +178,10 @@
 	return best
 }
 
-// contend notes that work waits unmet and asks the standing leases back.
-func (o *Owner) contend() {
-	o.contended = o.now
+// onContention records that requests wait without a free slot and recalls the
+// standing leases.
+func (o *Owner) onContention() {
+	o.lastContention = o.now
 	for _, n := range sorted(o.holders) {
 		h := o.holders[n]
 		if h.standing > 0 && !h.recalled {
@@ -186,16 +189,17 @@
 			o.send(n, &wire.Recall{Pool: o.pool})
 		}
 	}
-	o.wantShare()
+	o.requestShare()
 }
 
-// spread gives idle slots, but for a reserve, to the routers that lately had
-// work, so that their next requests need no message.
-func (o *Owner) spread() {
+// grantStanding grants idle slots, less a reserve, as standing leases to the
+// routers that recently had requests. Their next requests then start without a
+// message to the owner.
+func (o *Owner) grantStanding() {
 	var recent []string
 	for _, n := range sorted(o.holders) {
 		h := o.holders[n]
-		if o.now-h.lastUse < o.opt.recent && o.now-h.heard < o.opt.ttl/2 {
+		if o.now-h.lastUse < o.opt.recentUse && o.now-h.lastSeen < o.opt.ttl/2 {
 			recent = append(recent, n)
 		}
 	}
@@ -203,32 +207,33 @@
 		return
 	}
 	slots := o.slots()
-	fairPart := (slots - slots/reservePart) / len(recent)
+	fairPart := (slots - slots/reserveDivisor) / len(recent)
 	for _, n := range recent {
 		o.topUp(n, min(fairPart, maxStanding))
 	}
 	o.flushGrants()
 }
 
-// reservePart: one slot in so many is kept back from standing leases.
-const reservePart = 4
+// reserveDivisor: 1/reserveDivisor of the slots is never granted as standing
+// leases.
+const reserveDivisor = 4
 
-// maxStanding bounds the standing leases of one router in one pool.
+// maxStanding limits the standing leases of one router in one pool.
 const maxStanding = 64
 
 func (o *Owner) topUp(name string, want int) {
 	h := o.holders[name]
 	h.recalled = false
 	slots := o.slots()
-	for h.standing < want && o.freeSlots() > slots/reservePart {
-		s := o.roomiest()
+	for h.standing < want && o.freeSlots() > slots/reserveDivisor {
+		s := o.freestServer()
 		if s == nil {
 			return
 		}
 		l := o.newLease(s, name, "")
 		l.standing = true
 		h.standing++
-		g := o.batched(claimant{node: name, pool: o.pool}, o.source(), o.opt.ttl)
+		g := o.pendingGrant(requesterID{node: name, pool: o.pool}, o.source(), o.opt.ttl)
 		g.Leases = append(g.Leases, l.wire())
 	}
 }
--- a/pkg/pool/event.go
+++ b/pkg/pool/event.go
@@ -8,36 +8,37 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// Event is what an Owner takes in one Step.
+// Event is an input of Owner.Step.
 type Event interface{ apply(o *Owner) }
 
-// Tick lets time pass. It is due at least every DefaultShareEvery.
+// Tick advances the time. It is due at least every DefaultShareInterval.
 type Tick struct{}
 
 // Servers replaces the backend servers of the pool.
 type Servers struct{ List []Server }
 
-// Weights sets the weights of accounts.
+// Weights replaces the weights of the accounts.
 type Weights struct{ Of map[string]float64 }
 
-// Holders replaces the live routers of the zone. Expected are all that may
-// live, among them those that have not been heard of yet.
+// Holders replaces the live routers of the zone. Expected lists all routers
+// that may be alive, including those not yet seen.
 type Holders struct {
 	Live     []string
 	Expected []string
 }
 
-// Load is a backend server's own report of what runs there. It lags.
+// Load is the number of running requests that a backend server reports. It may
+// be up to LoadLag old.
 type Load struct {
 	Backend  string
 	InFlight int
 }
 
-// Unreachable says that a backend server did not answer the last call for
-// its load; it gets no work until it does.
+// Unreachable reports that reading the load of a backend server failed. The
+// server gets no requests until a reading succeeds.
 type Unreachable struct{ Backend string }
 
-// Demand is a router's demand.
+// Demand is a router's demand for slots.
 type Demand struct {
 	From string
 	Msg  *wire.Demand
@@ -49,7 +50,7 @@
 	Msg  *wire.Return
 }
 
-// Report is a router's list of the leases it holds.
+// Report is a router's list of the leases that it holds.
 type Report struct {
 	From string
 	Msg  *wire.Report
@@ -63,8 +64,8 @@
 
 func (Tick) apply(o *Owner) {
 	o.reclaimSilent()
-	o.refreshAll()
-	o.runOn()
+	o.updateQueues()
+	o.extrapolate()
 	o.refill()
 	o.dropSilentHolders()
 	o.dropSilentSiblings()
@@ -72,16 +73,16 @@
 }
 
 func (e Servers) apply(o *Owner) {
-	o.names = nil
+	o.serverNames = nil
 	old := o.servers
 	o.servers = make(map[string]*server, len(e.List))
 	for _, s := range e.List {
-		sv, ok := old[s.Name]
+		srv, ok := old[s.Name]
 		if !ok {
-			sv = &server{}
+			srv = &server{}
 		}
-		sv.Server = s
-		o.servers[s.Name] = sv
+		srv.Server = s
+		o.servers[s.Name] = srv
 	}
 }
 
@@ -91,13 +92,14 @@
 	}
 	for name := range o.accounts {
 		if _, ok := e.Of[name]; !ok {
-			o.forget(name)
+			o.removeAccount(name)
 		}
 	}
 }
 
-// forget drops an account that left the table, once nothing of it waits.
-func (o *Owner) forget(name string) {
+// removeAccount removes an account that is no longer in the table, unless
+// requests of it wait.
+func (o *Owner) removeAccount(name string) {
 	if o.queue.Get(name).Active {
 		return
 	}
@@ -124,19 +126,20 @@
 	}
 }
 
-// dropHolder forgets a router's demand.
+// dropHolder removes a router and its demands.
 func (o *Owner) dropHolder(name string) {
-	for who := range o.claims {
-		if who.node == name && who.pool == o.pool {
-			o.dropClaimer(who)
+	for id := range o.requesters {
+		if id.node == name && id.pool == o.pool {
+			o.dropRequester(id)
 		}
 	}
 	delete(o.holders, name)
 }
 
-// abandonAll gives up the leases of a dead router. What it started may still
-// run, if it is only cut off: its slots count as taken until the backend
-// server's own report, or until the leases' silence where it reports nothing.
+// abandonAll handles the leases of a dead router, which may only be
+// disconnected with its requests still running. If the backend server reports
+// its load, the leases are abandoned until the next report; otherwise they stay
+// until the reclaim timeout.
 func (o *Owner) abandonAll(name string) {
 	for _, l := range o.leases {
 		if l.holder != name {
@@ -149,23 +152,24 @@
 	}
 }
 
-// dropSilentHolders forgets routers of other zones that ask nothing more.
+// dropSilentHolders removes routers of other zones that no longer send
+// messages.
 func (o *Owner) dropSilentHolders() {
 	for _, n := range sorted(o.holders) {
 		h := o.holders[n]
-		if !h.member && o.now-h.heard >= o.opt.reclaim {
+		if !h.member && o.now-h.lastSeen >= o.opt.reclaimTimeout {
 			o.dropHolder(n)
 		}
 	}
 }
 
-// hear notes a router's sign of life.
-func (h *holder) hear(now time.Duration, stamp wire.Stamp) {
-	h.heard = now
+// observe records a message from the router.
+func (h *holder) observe(now time.Duration, stamp wire.Stamp) {
+	h.lastSeen = now
 	h.stamp = max(h.stamp, stamp)
 }
 
-// LoadLag is how old a load may be that a backend server reports.
+// LoadLag is the maximum age of a load report.
 const LoadLag = 500 * time.Millisecond
 
 func (e Load) apply(o *Owner) {
@@ -174,58 +178,59 @@
 		return
 	}
 	known := max(s.peak, s.lastPeak, s.used)
-	foreign := max(0, e.InFlight-known)
-	if o.now-s.abandoned < LoadLag {
-		// The report may be older than the request that was given up.
-		foreign = max(foreign, s.foreign)
+	unleased := max(0, e.InFlight-known)
+	if o.now-s.lastAbandoned < LoadLag {
+		// The report may predate the abandoned request.
+		unleased = max(unleased, s.unleased)
 	}
-	s.foreign = foreign
+	s.unleased = unleased
 	o.dropVanished(s, e.InFlight)
 	s.lastPeak = s.peak
 	s.peak = s.used
-	s.loaded = true
-	s.down = false
+	s.loadKnown = true
+	s.unreachable = false
 }
 
 func (e Unreachable) apply(o *Owner) {
 	if s, ok := o.servers[e.Backend]; ok {
-		s.down = true
-		s.loaded = true
+		s.unreachable = true
+		s.loadKnown = true
 	}
 }
 
 func (e Demand) apply(o *Owner) {
-	who := claimant{node: e.From, pool: o.pool}
-	c := o.claimer(who)
+	id := requesterID{node: e.From, pool: o.pool}
+	c := o.requester(id)
 	if e.Msg.Seq <= c.demandSeq && !e.Msg.Full {
 		return
 	}
 	c.demandSeq = e.Msg.Seq
 	h := o.holder(e.From)
-	h.hear(o.now, e.Msg.Stamp)
+	h.observe(o.now, e.Msg.Stamp)
 	if len(e.Msg.Waiting) > 0 {
 		h.lastUse = o.now
 	}
-	o.setClaims(who, e.Msg.Waiting, e.Msg.Seen, e.Msg.Full)
+	o.setDemands(id, e.Msg.Waiting, e.Msg.Seen, e.Msg.Full)
 }
 
 func (e Return) apply(o *Owner) {
-	o.ended(e.From, e.Msg.Epoch, e.Msg.Ended)
+	o.chargeEnded(e.From, e.Msg.Epoch, e.Msg.Ended)
 	for _, u := range e.Msg.Done {
 		if l := o.find(e.Msg.Epoch, u); l != nil {
-			l.server.down = l.server.down || u.Failed
-			o.bind(l, u.Account)
-			o.settle(l, u.Tokens, true)
+			l.server.unreachable = l.server.unreachable || u.Failed
+			o.setAccount(l, u.Account)
+			o.settleCharge(l, u.Tokens, true)
 			o.free(l)
 		}
 	}
 	for _, u := range e.Msg.Unused {
 		if l := o.find(e.Msg.Epoch, u); l != nil {
-			l.server.down = l.server.down || u.Failed
+			l.server.unreachable = l.server.unreachable || u.Failed
 			o.stats.Unused++
 			if l.standing {
-				// Who gives one back unused gets none until it has work.
-				o.holder(l.holder).lastUse = o.now - o.opt.recent
+				// A router that returns a standing lease unused gets no other
+				// until it has requests.
+				o.holder(l.holder).lastUse = o.now - o.opt.recentUse
 			}
 			o.charge(l.account, -l.charged)
 			o.free(l)
@@ -235,11 +240,11 @@
 
 func (e Report) apply(o *Owner) {
 	h := o.holder(e.From)
-	h.hear(o.now, e.Msg.Stamp)
-	o.ended(e.From, e.Msg.Epoch, e.Msg.Ended)
-	h.adopted = h.adopted || e.Msg.Adopt
+	h.observe(o.now, e.Msg.Stamp)
+	o.chargeEnded(e.From, e.Msg.Epoch, e.Msg.Ended)
+	h.reportedLeases = h.reportedLeases || e.Msg.Adopt
 	unknown, standing := false, false
-	take := func(u wire.LeaseUse) {
+	applyOne := func(u wire.LeaseUse) {
 		l := o.find(e.Msg.Epoch, u)
 		if l == nil && e.Msg.Adopt {
 			l = o.adopt(e.From, e.Msg.Epoch, u)
@@ -249,12 +254,12 @@
 			return
 		}
 		standing = standing || l.standing
-		o.hearLease(l, e.From, u)
+		o.applyUse(l, e.From, u)
 	}
 	for _, u := range e.Msg.Held {
-		take(u)
+		applyOne(u)
 	}
-	e.Msg.EachRunning(func(id uint64, tokens int64) { take(wire.LeaseUse{ID: id, Tokens: tokens}) })
+	e.Msg.EachRunning(func(id uint64, tokens int64) { applyOne(wire.LeaseUse{ID: id, Tokens: tokens}) })
 	if unknown && !e.Msg.Adopt {
 		o.send(e.From, &wire.Recall{Pool: o.pool, WantReport: true})
 	}
@@ -263,18 +268,18 @@
 	}
 }
 
-// hearLease takes a report of one lease.
-func (o *Owner) hearLease(l *lease, from string, u wire.LeaseUse) {
-	o.measure(l, u.Tokens)
-	l.heard = o.now
+// applyUse applies one entry of a report to its lease.
+func (o *Owner) applyUse(l *lease, from string, u wire.LeaseUse) {
+	o.updateRate(l, u.Tokens)
+	l.lastReport = o.now
 	l.holder = from
-	o.bind(l, u.Account)
-	o.settle(l, u.Tokens, false)
+	o.setAccount(l, u.Account)
+	o.settleCharge(l, u.Tokens, false)
 }
 
-// ended charges requests that ended on standing leases, less what earlier
+// chargeEnded charges requests that ended on standing leases, less what earlier
 // reports of the same request charged.
-func (o *Owner) ended(from string, epoch uint64, uses []wire.LeaseUse) {
+func (o *Owner) chargeEnded(from string, epoch uint64, uses []wire.LeaseUse) {
 	for _, u := range uses {
 		tokens := float64(u.Tokens)
 		charged := 0.0
@@ -285,7 +290,7 @@
 			l.tokens = 0
 		}
 		o.charge(u.Account, tokens-charged)
-		o.account(u.Account).est.add(tokens)
+		o.account(u.Account).costEstimate.add(tokens)
 		o.overall.add(tokens)
 		o.holder(from).lastUse = o.now
 	}
@@ -293,9 +298,9 @@
 
 func (e Borrowed) apply(o *Owner) { o.relay(e.From, e.Msg) }
 
-// measure notes the rate at which a running request is served.
-func (o *Owner) measure(l *lease, tokens int64) {
-	since := (o.now - l.heard).Seconds()
+// updateRate computes the rate at which a running request is served.
+func (o *Owner) updateRate(l *lease, tokens int64) {
+	since := (o.now - l.lastReport).Seconds()
 	if since <= 0 || l.tokens == 0 || tokens <= l.tokens {
 		l.rate = 0
 		return
@@ -304,10 +309,11 @@
 	o.rate.add(l.rate)
 }
 
-// runOn charges requests that outlast their estimate for what they were
-// probably served since their last report. The next one puts it right.
-func (o *Owner) runOn() {
-	if !o.opt.runOn {
+// extrapolate charges requests that exceed their charge for the tokens they
+// have probably been served since their last report. The next report corrects
+// the charge.
+func (o *Owner) extrapolate() {
+	if !o.opt.extrapolate {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(o.leases)) {
@@ -315,7 +321,7 @@
 		if l.rate == 0 {
 			continue
 		}
-		served := float64(l.tokens) + l.rate*(o.now-l.heard).Seconds()
+		served := float64(l.tokens) + l.rate*(o.now-l.lastReport).Seconds()
 		if served > l.charged {
 			o.charge(l.account, served-l.charged)
 			l.charged = served
@@ -323,9 +329,9 @@
 	}
 }
 
-// bind charges what runs on a standing or swapped lease to the account it runs
-// for.
-func (o *Owner) bind(l *lease, account string) {
+// setAccount moves the charge of a standing or swapped lease to the account
+// that uses it.
+func (o *Owner) setAccount(l *lease, account string) {
 	if account == l.account || !l.standing && account == "" {
 		return
 	}
--- a/pkg/pool/lease.go
+++ b/pkg/pool/lease.go
@@ -9,7 +9,7 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// find returns the lease that the use speaks of.
+// find returns the lease that the use refers to, or nil.
 func (o *Owner) find(epoch uint64, u wire.LeaseUse) *lease {
 	id := u.ID
 	if epoch != o.epoch {
@@ -18,24 +18,25 @@
 	return o.leases[id]
 }
 
-// adoptedBit keeps the numbers of adopted leases apart from own ones.
+// adoptedBit separates the IDs of adopted leases from the owner's own.
 const adoptedBit = 1 << 63
 
-// adoptedID numbers a lease of a former owner. Epochs are nanoseconds and a
-// factor spreads them, so that numbers of two former owners do not meet.
+// adoptedID returns the ID of a lease that a former owner granted. Epochs are
+// times in nanoseconds; the multiplication spreads them so that the IDs of two
+// former owners do not collide.
 func adoptedID(epoch, id uint64) uint64 {
 	const spread = 0x9E3779B97F4A7C15
 	return adoptedBit | (epoch*spread ^ id)
 }
 
-// adopt takes over a lease that a former owner granted.
+// adopt adds a lease that a former owner granted.
 func (o *Owner) adopt(holder string, epoch uint64, u wire.LeaseUse) *lease {
 	s, ok := o.servers[u.Backend]
 	if !ok {
 		return nil
 	}
 	id := adoptedID(epoch, u.ID)
-	l := &lease{id: id, number: u.ID, epoch: epoch, server: s, name: s.Name, holder: holder, account: u.Account, heard: o.now}
+	l := &lease{id: id, grantedID: u.ID, epoch: epoch, server: s, backend: s.Name, holder: holder, account: u.Account, lastReport: o.now}
 	o.leases[l.id] = l
 	s.used++
 	s.peak = max(s.peak, s.used)
@@ -45,29 +46,28 @@
 	return l
 }
 
-// reclaimSilent takes back the leases that nobody spoke of for too long. Their
-// requests may still run, so the slots count as taken by strangers until the
-// backend server's own report says otherwise.
+// reclaimSilent abandons leases that no report has mentioned for the reclaim
+// timeout.
 func (o *Owner) reclaimSilent() {
 	for _, l := range o.leases {
-		silence := o.opt.reclaim
+		silence := o.opt.reclaimTimeout
 		if l.server.ReportsLoad {
-			silence = o.opt.reclaimReported
+			silence = o.opt.shortReclaimTimeout
 		}
-		if o.now-l.heard >= silence && o.now >= l.until {
+		if o.now-l.lastReport >= silence && o.now >= l.expires {
 			o.abandon(l)
 		}
 	}
 }
 
-// HandOver returns what the next owner must know: every lease that is out, by
-// the epoch that granted it. A router of another zone would not tell in time.
+// HandOver returns all granted leases for the next owner, one report per
+// granting epoch. Routers of other zones would not report them in time.
 func (o *Owner) HandOver() []*wire.Report {
 	byEpoch := map[uint64]*wire.Report{}
 	for _, id := range slices.Sorted(maps.Keys(o.leases)) {
 		l := o.leases[id]
 		if l.standing && l.account == "" {
-			// Its holder hands an idle one back by itself.
+			// The holder returns idle standing leases itself.
 			continue
 		}
 		r, ok := byEpoch[l.epoch]
@@ -75,7 +75,7 @@
 			r = &wire.Report{Pool: o.pool, Epoch: l.epoch, Stamp: wire.StampOf(o.now), Adopt: true}
 			byEpoch[l.epoch] = r
 		}
-		r.Held = append(r.Held, wire.LeaseUse{ID: l.number, Tokens: l.tokens, Account: l.account, Backend: l.name})
+		r.Held = append(r.Held, wire.LeaseUse{ID: l.grantedID, Tokens: l.tokens, Account: l.account, Backend: l.backend})
 	}
 	var all []*wire.Report
 	for _, epoch := range slices.Sorted(maps.Keys(byEpoch)) {
@@ -84,9 +84,9 @@
 	return all
 }
 
-// dropVanished frees leases whose requests no longer run, as the server's own
-// report shows, though nobody gave them back: their holders are cut off. Only
-// silent ones that can start nothing more may be among them.
+// dropVanished frees leases of unresponsive holders if the server runs fewer
+// requests than there are leases. Only leases that can no longer start a
+// request are freed, the longest silent first.
 func (o *Owner) dropVanished(s *server, inFlight int) {
 	old := 0
 	var silent []*lease
@@ -100,7 +100,7 @@
 		}
 	}
 	slices.SortFunc(silent, func(a, b *lease) int {
-		return cmp.Or(cmp.Compare(a.heard, b.heard), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(a.lastReport, b.lastReport), cmp.Compare(a.id, b.id))
 	})
 	for _, l := range silent[:min(len(silent), max(0, old-inFlight))] {
 		o.stats.Reclaimed++
@@ -108,16 +108,16 @@
 	}
 }
 
-// vanishedAfter is how long after its grant a lease's request surely counts
-// in a report, if it runs.
+// vanishedAfter is the time after a grant at which a load report surely
+// includes the lease's request.
 const vanishedAfter = LoadLag + 200*time.Millisecond
 
 func (o *Owner) silent(l *lease) bool {
-	return o.now-l.heard >= staleHolder && o.now >= l.until
+	return o.now-l.lastReport >= holderTimeout && o.now >= l.expires
 }
 
-// HasStaleLeases reports whether a lease on a server that reports its load is
-// silent, so that a reading of the load would tell more.
+// HasStaleLeases reports whether a lease on a server with load reports is
+// silent. Reading the server's load would then help to free it.
 func (o *Owner) HasStaleLeases() bool {
 	for _, l := range o.leases {
 		if l.server.ReportsLoad && !l.standing && o.silent(l) {
@@ -127,14 +127,14 @@
 	return false
 }
 
-// abandon gives a lease up whose request may still run: its slot counts as
-// taken by a stranger until the next report of the load.
+// abandon frees a lease whose request may still run. Its slot counts as used
+// until the next load report.
 func (o *Owner) abandon(l *lease) {
 	o.stats.Reclaimed++
 	o.free(l)
 	s := l.server
-	s.foreign++
-	s.abandoned = o.now
+	s.unleased++
+	s.lastAbandoned = o.now
 	s.peak = max(0, s.peak-1)
 	s.lastPeak = max(0, s.lastPeak-1)
 }
--- a/pkg/pool/limit.go
+++ b/pkg/pool/limit.go
@@ -6,38 +6,39 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// Limit bounds one account's use of the model over the whole fleet. Zero
-// means no limit.
+// Limit limits an account's use of a model in the whole fleet. Zero means
+// unlimited.
 type Limit struct {
-	// Requests and Tokens are rates a second.
+	// Requests and Tokens are rates per second.
 	Requests float64
 	Tokens   float64
-	// InFlight is how many requests may run at once.
+	// InFlight is the maximum number of concurrent requests.
 	InFlight int
 }
 
-// Limits replaces the limits of accounts; an account not named has none.
+// Limits replaces the limits of all accounts. Accounts not listed are
+// unlimited.
 type Limits struct{ Of map[string]Limit }
 
-// burst is how much of a rate may be saved up, in seconds of it.
+// burst is the capacity of the token buckets in seconds of their rate.
 const burst = 1.0
 
-// limiter holds an account to its limit. Each owner keeps the whole fleet's
-// account of it: it takes off its own use at once and that of the others as
-// they share it. Where some of them are cut off, it lets itself have only its
-// part of the limit, so that a split fleet errs on the side of too little.
+// limiter enforces an account's limit. Each owner tracks the use in the whole
+// fleet: its own at once, that of siblings when they share it. While siblings
+// are disconnected it uses only its share of the limit, so that a partitioned
+// fleet stays below the limit.
 type limiter struct {
 	Limit
-	// requests and tokens are what may still be used; they may fall below
-	// zero by what others used meanwhile.
+	// requests and tokens are the bucket levels. Use reported by siblings may
+	// make them negative.
 	requests float64
 	tokens   float64
 	filledAt time.Duration
-	// since is when the account last came from idle here.
-	since time.Duration
+	// activeSince is when the account last became active here.
+	activeSince time.Duration
 }
 
-// spend takes use off. An account without limits has a nil limiter.
+// spend takes from the buckets. The limiter of an unlimited account is nil.
 func (l *limiter) spend(tokens, requests float64) {
 	if l == nil {
 		return
@@ -58,29 +59,30 @@
 		a := o.accounts[name]
 		if _, ok := e.Of[name]; !ok && a.limit != nil {
 			a.limit = nil
-			o.refresh(a)
+			o.updateQueue(a)
 		}
 	}
 }
 
-// part is the part of a limit that this owner may use: all of it while it
-// hears of the others' use, else by its part of the model's known slots.
-func (o *Owner) part() float64 {
-	all, heard := float64(o.slots()), float64(o.slots())
+// limitFraction returns the fraction of a limit that this owner may use: the
+// fraction of the model's slots that belong to it and to siblings that send
+// shares.
+func (o *Owner) limitFraction() float64 {
+	total, known := float64(o.slots()), float64(o.slots())
 	for _, s := range o.siblings {
-		all += o.slotsOf(s)
+		total += o.slotsOf(s)
 		if s.known {
-			heard += float64(s.slots)
+			known += float64(s.slots)
 		}
 	}
-	if all == 0 {
+	if total == 0 {
 		return 1
 	}
-	return heard / all
+	return known / total
 }
 
-// refill lets time add to what limited accounts may use, and takes those that
-// were held back in again.
+// refill refills the buckets of all limited accounts and reactivates accounts
+// that have become able to run.
 func (o *Owner) refill() {
 	part := -1.0
 	for _, name := range sorted(o.accounts) {
@@ -89,10 +91,10 @@
 			continue
 		}
 		if part < 0 {
-			part = o.part()
+			part = o.limitFraction()
 		}
 		a.limit.refill(o.now, part)
-		o.refresh(a)
+		o.updateQueue(a)
 	}
 }
 
@@ -103,42 +105,44 @@
 	l.tokens = min(l.Tokens*burst, l.tokens+l.Tokens*dt)
 }
 
-// over reports whether the account has used up one of its limits.
-func (o *Owner) over(a *account) bool {
+// overLimit reports whether the account has exhausted one of its limits.
+func (o *Owner) overLimit(a *account) bool {
 	l := a.limit
 	if l.Requests > 0 && l.requests < 1 || l.Tokens > 0 && l.tokens <= 0 {
 		return true
 	}
-	return l.InFlight > 0 && float64(a.running) >= max(1, o.inFlightPart(a))
+	return l.InFlight > 0 && float64(a.running) >= max(1, o.inFlightLimit(a))
 }
 
-// inFlightPart is how many of an account's requests this owner may run: its
-// own part of the limit by slots, and what siblings that it hears of leave of
-// theirs. Two owners that start at once each keep to their part.
-func (o *Owner) inFlightPart(a *account) float64 {
+// inFlightLimit returns how many requests of the account this owner may run:
+// its share of the limit by slots, plus what connected siblings do not use of
+// theirs. An account that has just become active gets only the first part, so
+// that two owners do not both use the rest.
+func (o *Owner) inFlightLimit(a *account) float64 {
 	l := a.limit
-	all := float64(o.slots())
+	total := float64(o.slots())
 	for _, s := range o.siblings {
-		all += o.slotsOf(s)
+		total += o.slotsOf(s)
 	}
-	if all == 0 {
+	if total == 0 {
 		return float64(l.InFlight)
 	}
-	each := float64(l.InFlight) / all
+	each := float64(l.InFlight) / total
 	mine := each * float64(o.slots())
-	if o.now-l.since < 2*o.shareInterval() {
+	if o.now-l.activeSince < 2*o.shareInterval() {
 		return mine
 	}
 	for _, s := range o.siblings {
 		theirs := each * o.slotsOf(s)
-		if s.known && !s.wants(a.name) {
+		if s.known && !s.usesAccount(a.name) {
 			mine += max(0, theirs-float64(s.limited[a.name].Running))
 		}
 	}
 	return mine
 }
 
-// slotsOf returns a sibling's slots, or as many as here before it told.
+// slotsOf returns a sibling's slots, or this pool's own number if the sibling
+// has not reported yet.
 func (o *Owner) slotsOf(s *sibling) float64 {
 	if s.slots == 0 && !s.known {
 		return float64(o.slots())
@@ -146,24 +150,27 @@
 	return float64(s.slots)
 }
 
-// wants reports whether the sibling asked for the account or runs it.
-func (s *sibling) wants(account string) bool {
-	return s.asks[account] || s.limited[account].Running > 0
+// usesAccount reports whether the sibling runs requests of the account or has
+// some waiting.
+func (s *sibling) usesAccount(account string) bool {
+	return s.waiting[account] || s.limited[account].Running > 0
 }
 
-// limitedNews lists what this owner gave the accounts that have limits.
-func (o *Owner) limitedNews() []wire.Limited {
-	var news []wire.Limited
+// limitedUsage returns the use of the limited accounts that were granted
+// requests here.
+func (o *Owner) limitedUsage() []wire.Limited {
+	var usage []wire.Limited
 	for _, name := range sorted(o.accounts) {
 		if a := o.accounts[name]; a.limit != nil && a.requests > 0 {
-			news = append(news, wire.Limited{Account: name, Requests: a.requests, Running: a.running})
+			usage = append(usage, wire.Limited{Account: name, Requests: a.requests, Running: a.running})
 		}
 	}
-	return news
+	return usage
 }
 
-// learnLimited takes off what a sibling gave since its last share.
-func (o *Owner) learnLimited(s *sibling, limited []wire.Limited, fresh bool) {
+// applyLimited takes from the buckets what a sibling granted since its last
+// share.
+func (o *Owner) applyLimited(s *sibling, limited []wire.Limited, fresh bool) {
 	before := s.limited
 	s.limited = make(map[string]wire.Limited, len(limited))
 	for _, v := range limited {
--- a/pkg/pool/limit_test.go
+++ b/pkg/pool/limit_test.go
@@ -8,15 +8,15 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// zonePair is two owners of one model, each with 8 slots and endless work of
-// one account that has limits; their shares may be cut.
+// zonePair is two owners of one model, each with 8 slots and an unlimited
+// backlog of one account with limits. The shares between them can be dropped.
 type zonePair struct {
-	owners  [2]*pool.Owner
-	pools   [2]wire.Pool
-	running [2][]wire.LeaseUse
-	granted [2]int
-	most    int
-	cut     bool
+	owners       [2]*pool.Owner
+	pools        [2]wire.Pool
+	running      [2][]wire.LeaseUse
+	granted      [2]int
+	maxRunning   int
+	disconnected bool
 }
 
 func newZonePair(l pool.Limit) *zonePair {
@@ -31,13 +31,13 @@
 	return z
 }
 
-// step lets 50 ms pass at an owner; what it granted runs for 200 ms.
+// step advances an owner by 50 ms. Granted requests run for 200 ms.
 func (z *zonePair) step(i, n int) {
 	now := time.Duration(n) * 50 * time.Millisecond
-	d := &wire.Demand{Pool: z.pools[i], Seq: uint64(n), Stamp: wire.StampOf(now), Full: true, Seen: 1 << 60, Waiting: []wire.Waiting{{Account: "x", Count: 100}}}
+	demand := &wire.Demand{Pool: z.pools[i], Seq: uint64(n), Stamp: wire.StampOf(now), Full: true, Seen: 1 << 60, Waiting: []wire.Waiting{{Account: "x", Count: 100}}}
 	var sends []pool.Send
 	take := func(s []pool.Send) { sends = append(sends, s...) }
-	take(z.owners[i].Step(now, pool.Demand{From: "h", Msg: d}))
+	take(z.owners[i].Step(now, pool.Demand{From: "h", Msg: demand}))
 	take(z.owners[i].Step(now, pool.Tick{}))
 	if n%4 == 0 && len(z.running[i]) > 0 {
 		done := &wire.Return{Pool: z.pools[i], Done: z.running[i]}
@@ -47,7 +47,7 @@
 	for _, s := range sends {
 		z.deliver(i, now, s.Msg)
 	}
-	z.most = max(z.most, len(z.running[0])+len(z.running[1]))
+	z.maxRunning = max(z.maxRunning, len(z.running[0])+len(z.running[1]))
 }
 
 func (z *zonePair) deliver(i int, now time.Duration, msg any) {
@@ -60,7 +60,7 @@
 			}
 		}
 	case *wire.Share:
-		if !z.cut {
+		if !z.disconnected {
 			share := *m
 			share.Waiting = nil
 			z.owners[1-i].Step(now, pool.Share{From: "o", Msg: &share})
@@ -68,32 +68,35 @@
 	}
 }
 
+// TestFleetWideLimits guards against owners that together exceed an account's
+// limit, or that block the account after they lose contact.
 func TestFleetWideLimits(t *testing.T) {
 	const steps = 400 // 20 s
 	tests := map[string]struct {
-		limit pool.Limit
-		cut   bool
-		// least and most are requests granted in 20 s, atOnce those in flight.
-		least, most, atOnce int
+		limit      pool.Limit
+		disconnect bool
+		// minGranted and maxGranted bound the requests granted in 20 s,
+		// maxRunning the concurrent ones.
+		minGranted, maxGranted, maxRunning int
 	}{
-		"requests":          {pool.Limit{Requests: 10}, false, 190, 225, 16},
-		"tokens":            {pool.Limit{Tokens: 500}, false, 180, 235, 16},
-		"in flight":         {pool.Limit{InFlight: 4}, false, 200, 500, 6},
-		"requests, cut":     {pool.Limit{Requests: 10}, true, 150, 240, 16},
-		"in flight, cut":    {pool.Limit{InFlight: 4}, true, 200, 500, 6},
-		"no limit to speak": {pool.Limit{Requests: 1000}, false, 1000, 2000, 16},
+		"requests":                {pool.Limit{Requests: 10}, false, 190, 225, 16},
+		"tokens":                  {pool.Limit{Tokens: 500}, false, 180, 235, 16},
+		"in flight":               {pool.Limit{InFlight: 4}, false, 200, 500, 6},
+		"requests, disconnected":  {pool.Limit{Requests: 10}, true, 150, 240, 16},
+		"in flight, disconnected": {pool.Limit{InFlight: 4}, true, 200, 500, 6},
+		"high limit":              {pool.Limit{Requests: 1000}, false, 1000, 2000, 16},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			z := newZonePair(tc.limit)
 			for n := 1; n <= steps; n++ {
-				z.cut = tc.cut && n > steps/4
+				z.disconnected = tc.disconnect && n > steps/4
 				z.step(0, n)
 				z.step(1, n)
 			}
-			all := z.granted[0] + z.granted[1]
-			if all < tc.least || all > tc.most || z.most > tc.atOnce {
-				t.Errorf("%d granted (want %d to %d), %d at once (want at most %d)", all, tc.least, tc.most, z.most, tc.atOnce)
+			granted := z.granted[0] + z.granted[1]
+			if granted < tc.minGranted || granted > tc.maxGranted || z.maxRunning > tc.maxRunning {
+				t.Errorf("%d granted (want %d to %d), %d running (want at most %d)", granted, tc.minGranted, tc.maxGranted, z.maxRunning, tc.maxRunning)
 			}
 		})
 	}
--- a/pkg/pool/options.go
+++ b/pkg/pool/options.go
@@ -2,119 +2,123 @@
 
 import "time"
 
-// Estimator is how an owner reads the service that other zones gave since
-// their last share.
+// Estimator is how an owner estimates the service by other zones since their
+// last share.
 type Estimator string
 
-// The estimators weighed in docs/FAIRNESS.md.
+// The estimators; see docs/FAIRNESS.md.
 const (
-	// LastShare takes the last share as it stands.
+	// LastShare assumes no service since the last share.
 	LastShare Estimator = "as-last-shared"
-	// ScaledByZones counts own service once for each zone that serves the
-	// account, until the next share puts it right.
+	// ScaledByZones assumes that each zone that serves the account serves as
+	// much as this one, until the next share corrects it.
 	ScaledByZones Estimator = "counted-by-zones"
 )
 
-// The defaults; docs/CAPACITY.md weighs them at the target size.
+// The defaults; see docs/CAPACITY.md.
 const (
-	// DefaultTTL is how long a holder may start work on a lease unrenewed.
+	// DefaultTTL is how long a holder may start requests on a lease without
+	// renewal.
 	DefaultTTL = 1500 * time.Millisecond
-	// DefaultReclaimTimeout is after what silence an owner takes a lease back. It
-	// exceeds the TTL and the longest trip of a renewal.
+	// DefaultReclaimTimeout is how long after the last report an owner reclaims
+	// a lease. It exceeds the TTL plus the longest delivery time of a renewal.
 	DefaultReclaimTimeout = 4 * time.Second
-	// DefaultShortReclaimTimeout is the same where the backend server reports its
-	// load, which tells whether the request still runs. It exceeds the TTL.
+	// DefaultShortReclaimTimeout applies if the backend server reports its
+	// load, which shows whether the request still runs. It exceeds the TTL.
 	DefaultShortReclaimTimeout = 2 * time.Second
 	// DefaultShareInterval is the interval between shares of one pool.
 	DefaultShareInterval = 250 * time.Millisecond
-	// DefaultMinShareInterval is the least time between two urgent shares.
+	// DefaultMinShareInterval is the minimum time between two early shares.
 	DefaultMinShareInterval = 20 * time.Millisecond
-	// DefaultSiblingTimeout is when another owner's demand is dropped.
+	// DefaultSiblingTimeout is how long after its last share a sibling's demand
+	// is dropped.
 	DefaultSiblingTimeout = 2 * time.Second
-	// DefaultInitialEstimate is a request's cost in tokens before any is known.
+	// DefaultInitialEstimate is the estimated cost of a request, in tokens,
+	// before any request has ended.
 	DefaultInitialEstimate = 100
-	// DefaultInitialRate is what a slot serves, in tokens a second, before any
-	// report tells.
+	// DefaultInitialRate is the assumed rate of a slot, in tokens per second,
+	// before any report.
 	DefaultInitialRate = 100
-	// DefaultChargeHorizon is for how long ahead a grant charges: a report and a
-	// share later the owners know better.
+	// DefaultChargeHorizon is the service time that a grant charges in advance.
+	// By its end the owners have received a report and a share.
 	DefaultChargeHorizon = 500 * time.Millisecond
-	// DefaultConvergence is the part of a difference in virtual time between two
-	// owners that one share takes away.
+	// DefaultConvergence is the fraction of the difference in virtual time
+	// between two owners that one share removes.
 	DefaultConvergence = 0.25
 )
 
 type options struct {
-	ttl     time.Duration
-	reclaim time.Duration
-	// reclaimReported is reclaim for servers that report their load.
-	reclaimReported time.Duration
-	shareEvery      time.Duration
-	shareSoonest    time.Duration
-	siblingSilence  time.Duration
-	calm            time.Duration
-	recent          time.Duration
-	idleGrace       time.Duration
-	firstEstimate   float64
-	estimator       Estimator
-	quiet           time.Duration
-	agree           float64
-	runOn           bool
-	firstRate       float64
-	lookAhead       time.Duration
+	ttl            time.Duration
+	reclaimTimeout time.Duration
+	// shortReclaimTimeout applies to servers that report their load.
+	shortReclaimTimeout time.Duration
+	shareInterval       time.Duration
+	minShareInterval    time.Duration
+	siblingTimeout      time.Duration
+	calmPeriod          time.Duration
+	recentUse           time.Duration
+	idleGrace           time.Duration
+	initialEstimate     float64
+	estimator           Estimator
+	takeoverDelay       time.Duration
+	convergence         float64
+	extrapolate         bool
+	initialRate         float64
+	chargeHorizon       time.Duration
 }
 
 func defaults() options {
 	return options{
-		ttl:             DefaultTTL,
-		reclaim:         DefaultReclaimTimeout,
-		reclaimReported: DefaultShortReclaimTimeout,
-		shareEvery:      DefaultShareInterval,
-		shareSoonest:    DefaultMinShareInterval,
-		siblingSilence:  DefaultSiblingTimeout,
-		calm:            500 * time.Millisecond,
-		recent:          30 * time.Second,
-		idleGrace:       250 * time.Millisecond,
-		firstEstimate:   DefaultInitialEstimate,
-		estimator:       ScaledByZones,
-		quiet:           DefaultTTL,
-		agree:           DefaultConvergence,
-		runOn:           true,
-		firstRate:       DefaultInitialRate,
-		lookAhead:       DefaultChargeHorizon,
+		ttl:                 DefaultTTL,
+		reclaimTimeout:      DefaultReclaimTimeout,
+		shortReclaimTimeout: DefaultShortReclaimTimeout,
+		shareInterval:       DefaultShareInterval,
+		minShareInterval:    DefaultMinShareInterval,
+		siblingTimeout:      DefaultSiblingTimeout,
+		calmPeriod:          500 * time.Millisecond,
+		recentUse:           30 * time.Second,
+		idleGrace:           250 * time.Millisecond,
+		initialEstimate:     DefaultInitialEstimate,
+		estimator:           ScaledByZones,
+		takeoverDelay:       DefaultTTL,
+		convergence:         DefaultConvergence,
+		extrapolate:         true,
+		initialRate:         DefaultInitialRate,
+		chargeHorizon:       DefaultChargeHorizon,
 	}
 }
 
-// Option changes a new Owner.
+// Option configures a new Owner.
 type Option func(*options)
 
 // WithTakeoverDelay sets how long a new owner grants nothing.
 func WithTakeoverDelay(d time.Duration) Option {
-	return func(o *options) { o.quiet = d }
+	return func(o *options) { o.takeoverDelay = d }
 }
 
-// WithConvergence sets how much of the difference between two owners' virtual times
-// each share takes away, from 0 to 1.
+// WithConvergence sets the fraction of the difference between two owners'
+// virtual times that each share removes, from 0 to 1.
 func WithConvergence(part float64) Option {
-	return func(o *options) { o.agree = part }
+	return func(o *options) { o.convergence = part }
 }
 
-// WithChargeHorizon sets for how long ahead a grant charges what a slot serves.
+// WithChargeHorizon sets the service time that a grant charges in advance.
 func WithChargeHorizon(d time.Duration) Option {
-	return func(o *options) { o.lookAhead = d }
+	return func(o *options) { o.chargeHorizon = d }
 }
 
-// WithExtrapolation says whether running requests are charged between their reports.
+// WithExtrapolation sets whether running requests are charged between their
+// reports.
 func WithExtrapolation(on bool) Option {
-	return func(o *options) { o.runOn = on }
+	return func(o *options) { o.extrapolate = on }
 }
 
-// WithEstimator sets how others' service is read between shares.
+// WithEstimator sets how service by other zones is estimated between shares.
 func WithEstimator(e Estimator) Option {
 	return func(o *options) { o.estimator = e }
 }
 
 // WithShareInterval sets the interval between shares.
 func WithShareInterval(d time.Duration) Option {
-	return func(o *options) { o.shareEvery = d }
+	return func(o *options) { o.shareInterval = d }
 }
