--- a/pkg/pool/owner.go
+++ b/pkg/pool/owner.go
@@ -1,6 +1,6 @@
-// Package pool decides, for one pool of backend servers, which waiting
-// request gets the next free slot. It is a pure state machine: events and the
-// time go in, messages to other routers come out.
+// Package pool decides, for one pool of backend servers, which waiting request
+// gets the next free slot. It is a pure state machine: events and times are its
+// input, messages to other routers its output.
 package pool
 
 import (
@@ -12,7 +12,7 @@
 
 // Send is a message that the caller of Step delivers.
 type Send struct {
-	// To is the router's name; never the owner's own where it can be local.
+	// To is the name of the receiving router.
 	To string
 	// Msg is a pointer to one of the types of package wire.
 	Msg any
@@ -20,13 +20,12 @@
 
 // Server is a backend server of the pool.
 type Server struct {
-	// Name is the backend server.
 	Name string
-	// Slots is how many requests may run at once; above zero.
+	// Slots is the maximum number of concurrent requests, at least 1.
 	Slots int
-	// AcceptsRequests says that new work may go there.
+	// AcceptsRequests is whether the server may get new requests.
 	AcceptsRequests bool
-	// ReportsLoad says that it reports its load.
+	// ReportsLoad is whether the server reports its load.
 	ReportsLoad bool
 }
 
@@ -39,97 +38,100 @@
 	now     time.Duration
 	started time.Duration
 
-	servers  map[string]*server
-	names    []string
-	claims   map[claimant]*claimer
-	leases   map[uint64]*lease
-	nextID   uint64
-	accounts map[string]*account
-	queue    *fair.Queue
-	siblings map[wire.Pool]*sibling
-	holders  map[string]*holder
-	overall  estimate
-	// rate is what a slot serves, in tokens a second.
+	servers     map[string]*server
+	serverNames []string
+	requesters  map[requesterID]*requester
+	leases      map[uint64]*lease
+	nextID      uint64
+	accounts    map[string]*account
+	queue       *fair.Queue
+	siblings    map[wire.Pool]*sibling
+	holders     map[string]*holder
+	overall     estimate
+	// rate is the service rate of a slot in tokens per second.
 	rate     estimate
 	expected []string
 
 	shareSeq   uint64
 	lastShare  time.Duration
 	shareDirty bool
-	// untold says that an account has work here that no share named yet.
-	untold bool
-	// asking says that the last share asked siblings for slots.
-	asking     bool
-	contended  time.Duration
-	out        []Send
-	quiet      bool
-	batch      map[batchKey]*wire.Grant
-	batchOrder []batchKey
-	stats      Stats
+	// unreported is whether an account has waiting requests that no share has
+	// included yet.
+	unreported bool
+	// askedForSlots is whether the last share included waiting requests.
+	askedForSlots  bool
+	lastContention time.Duration
+	out            []Send
+	takingOver     bool
+	batch          map[batchKey]*wire.Grant
+	batchOrder     []batchKey
+	stats          Stats
 }
 
-// claimant is who may be granted a lease: a router, or another pool's owner.
-type claimant struct {
+// requesterID identifies a receiver of leases: a router, or the owner of
+// another pool.
+type requesterID struct {
 	node string
 	pool wire.Pool
 }
 
 type server struct {
 	Server
-	used    int
-	foreign int
-	// peak is the most leases out since the last load report, because a
-	// lagging report may still count them.
-	peak     int
-	lastPeak int
-	loaded   bool
-	// abandoned is when a lease on it was last given up.
-	abandoned time.Duration
-	// down says that the server could not be reached when last tried.
-	down bool
+	used     int
+	unleased int
+	// peak is the maximum of used since the last load report, because a delayed
+	// report may still count those requests.
+	peak      int
+	lastPeak  int
+	loadKnown bool
+	// lastAbandoned is when a lease on the server was last abandoned.
+	lastAbandoned time.Duration
+	// unreachable is whether the last connection attempt failed.
+	unreachable bool
 }
 
 func (s *server) free() int {
-	if !s.AcceptsRequests || s.down {
+	if !s.AcceptsRequests || s.unreachable {
 		return 0
 	}
-	return max(0, s.Slots-s.used-s.foreign)
+	return max(0, s.Slots-s.used-s.unleased)
 }
 
 type lease struct {
 	id uint64
-	// number is the lease's ID at the owner of the epoch that granted it.
-	number   uint64
-	server   *server
-	name     string
-	holder   string
-	account  string
-	charged  float64
-	tokens   int64
-	heard    time.Duration
-	standing bool
-	epoch    uint64
-	// rate is the tokens a second between the last two reports of a running
-	// request, 0 before there were two.
+	// grantedID is the lease's ID at the owner that granted it.
+	grantedID  uint64
+	server     *server
+	backend    string
+	holder     string
+	account    string
+	charged    float64
+	tokens     int64
+	lastReport time.Duration
+	standing   bool
+	epoch      uint64
+	// rate is the number of tokens per second between the last two reports of a
+	// running request, 0 before the second.
 	rate    float64
 	granted time.Duration
-	// until is when the holder can no more start anything on it.
-	until time.Duration
+	// expires is when the holder can no longer start a request on the lease.
+	expires time.Duration
 }
 
 type account struct {
-	name    string
-	claims  map[claimant]*claim
-	own     float64
-	est     estimate
-	idle    time.Duration
-	changed bool
-	// sent says that the last share named the account, told how much work of
-	// it that waits here.
-	sent bool
-	told int
-	// zones is how many siblings served the account in their last share.
-	zones int
+	name         string
+	demands      map[requesterID]*demand
+	served       float64
+	costEstimate estimate
+	idleSince    time.Duration
+	changed      bool
+	// inLastShare is whether the last share included the account; sharedWaiting
+	// is the number of waiting requests in it.
+	inLastShare   bool
+	sharedWaiting int
+	// servingSiblings is the number of siblings that served the account
+	// according to their last share.
+	servingSiblings int
 	// requests and running count the account's leases here.
 	requests int64
 	running  int
@@ -137,62 +139,63 @@
 	limit *limiter
 }
 
-type claim struct {
-	who      claimant
-	reported int
-	priority int
-	unseen   []uint64
+type demand struct {
+	id           requesterID
+	reported     int
+	priority     int
+	unseenGrants []uint64
 }
 
-func (c *claim) count() int { return max(0, c.reported-len(c.unseen)) }
+func (c *demand) count() int { return max(0, c.reported-len(c.unseenGrants)) }
 
-// claimer is what the owner knows of one claimant.
-type claimer struct {
+// requester is the state of a router, or of another pool's owner, that asks for
+// slots.
+type requester struct {
 	demandSeq uint64
 	grantSeq  uint64
-	claims    map[string]*claim
+	demands   map[string]*demand
 }
 
 type holder struct {
 	standing int
 	lastUse  time.Duration
-	// adopted says that it told all that it holds from former owners.
-	adopted bool
-	// member says that the platform or the zone's routers know it as a
-	// router of this zone.
+	// reportedLeases is whether the router has reported the leases it holds
+	// from former owners.
+	reportedLeases bool
+	// member is whether the router belongs to this zone.
 	member bool
-	// stamp is the last one received, heard when that was.
+	// stamp is the last stamp received, lastSeen the time of the last message.
 	stamp    wire.Stamp
-	heard    time.Duration
+	lastSeen time.Duration
 	recalled bool
 }
 
-// New returns the owner of a pool as it is at the time now. It stays quiet,
-// granting nothing, for one lease time unless the options say otherwise.
+// New returns the owner of a pool at the time now. It grants nothing until the
+// takeover delay has passed or all leases of the former owner are known.
 func New(self string, pool wire.Pool, now time.Duration, opts ...Option) *Owner {
 	o := &Owner{
 		opt: defaults(), self: self, epoch: uint64(now), pool: pool, now: now, started: now,
-		servers:  map[string]*server{},
-		claims:   map[claimant]*claimer{},
-		leases:   map[uint64]*lease{},
-		accounts: map[string]*account{},
-		siblings: map[wire.Pool]*sibling{},
-		holders:  map[string]*holder{},
-		batch:    map[batchKey]*wire.Grant{},
-		quiet:    true,
+		servers:    map[string]*server{},
+		requesters: map[requesterID]*requester{},
+		leases:     map[uint64]*lease{},
+		accounts:   map[string]*account{},
+		siblings:   map[wire.Pool]*sibling{},
+		holders:    map[string]*holder{},
+		batch:      map[batchKey]*wire.Grant{},
+		takingOver: true,
 	}
 	for _, f := range opts {
 		f(&o.opt)
 	}
 	o.queue = fair.New()
-	o.contended = now - o.opt.calm
+	o.lastContention = now - o.opt.calmPeriod
 	return o
 }
 
-// Pool returns the pool that is owned.
+// Pool returns the owned pool.
 func (o *Owner) Pool() wire.Pool { return o.pool }
 
-// Step takes one event at the time now and returns the messages to send. The
+// Step applies one event at the time now and returns the messages to send. The
 // returned slice is valid until the next Step.
 func (o *Owner) Step(now time.Duration, ev Event) []Send {
 	o.now = max(o.now, now)
@@ -206,7 +209,7 @@
 	o.out = append(o.out, Send{To: to, Msg: msg})
 }
 
-// free drops a lease and frees its slot.
+// free removes a lease and frees its slot.
 func (o *Owner) free(l *lease) {
 	if l.standing {
 		o.holder(l.holder).standing--
@@ -216,7 +219,7 @@
 	if a, ok := o.accounts[l.account]; ok && !l.standing {
 		a.running--
 		if a.limit != nil {
-			o.refresh(a)
+			o.updateQueue(a)
 		}
 	}
 }
@@ -224,20 +227,20 @@
 func (o *Owner) holder(name string) *holder {
 	h, ok := o.holders[name]
 	if !ok {
-		h = &holder{lastUse: -o.opt.recent}
+		h = &holder{lastUse: -o.opt.recentUse}
 		o.holders[name] = h
 	}
 	return h
 }
 
 func (o *Owner) sortedNames() []string {
-	if o.names == nil {
-		o.names = sorted(o.servers)
+	if o.serverNames == nil {
+		o.serverNames = sorted(o.servers)
 	}
-	return o.names
+	return o.serverNames
 }
 
-// freeSlots counts the slots that may be granted now.
+// freeSlots returns the number of slots that can be granted now.
 func (o *Owner) freeSlots() int {
 	n := 0
 	for _, s := range o.servers {
--- a/pkg/pool/relay.go
+++ b/pkg/pool/relay.go
@@ -6,9 +6,9 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// relay hands leases lent by another owner to routers of this zone, for what
-// is left of their time, which the lender counts from the stamp of this
-// owner's share. What nobody needs any more goes straight back.
+// relay passes leases from another owner on to routers of this zone, with the
+// remaining lease time. The lender counts that time from the stamp of this
+// owner's share. Leases that no router needs go back to the lender.
 func (o *Owner) relay(from string, g *wire.Grant) {
 	if s, ok := o.siblings[g.Source.Pool]; ok && s.node == from {
 		s.seenGrant = max(s.seenGrant, g.Seq)
@@ -27,9 +27,9 @@
 	}
 }
 
-// relayOne passes a lease on; it reports whether anyone here can use it. If
-// the account it was lent for has nothing left to run, the one with the least
-// service gets it, and the lender hears so with the lease's use.
+// relayOne passes one lease on and reports whether a router could use it. If
+// the account of the lease has no waiting requests here, the account with the
+// lowest virtual time gets the lease; the use report tells the lender.
 func (o *Owner) relayOne(l wire.Lease, source wire.Source, left time.Duration) bool {
 	a := o.account(l.Account)
 	c := o.bestLocal(a)
@@ -43,16 +43,16 @@
 		o.stats.Swapped++
 	}
 	o.stats.Relayed++
-	g := o.batched(c.who, source, left)
-	c.unseen = append(c.unseen, g.Seq)
+	g := o.pendingGrant(c.id, source, left)
+	c.unseenGrants = append(c.unseenGrants, g.Seq)
 	g.Leases = append(g.Leases, l)
-	o.refresh(a)
+	o.updateQueue(a)
 	return true
 }
 
-// nextLocal returns the account with the least service if a router here
-// claims for it.
-func (o *Owner) nextLocal() (*account, *claim) {
+// nextLocal returns the account with the lowest virtual time and its demand by
+// a router of this zone, which may be nil.
+func (o *Owner) nextLocal() (*account, *demand) {
 	next, ok := o.queue.Min()
 	if !ok {
 		return nil, nil
@@ -61,9 +61,9 @@
 	return a, o.bestLocal(a)
 }
 
-func (o *Owner) bestLocal(a *account) *claim {
-	c := o.best(a)
-	if c == nil || c.who.pool != o.pool {
+func (o *Owner) bestLocal(a *account) *demand {
+	c := o.bestDemand(a)
+	if c == nil || c.id.pool != o.pool {
 		return nil
 	}
 	return c
--- a/pkg/pool/learn.go
+++ b/pkg/pool/served.go
@@ -2,40 +2,40 @@
 
 import "github.com/yarrowmast/yarrowmast/pkg/wire"
 
-// learn takes over what a sibling served. What it served before it was first
-// heard, or while it was cut off, is forgiven.
-func (o *Owner) learn(s *sibling, served []wire.Served, fresh bool) {
+// applyServed charges what a sibling served since its last share. If fresh,
+// earlier service is not charged: the sibling is new or was disconnected.
+func (o *Owner) applyServed(s *sibling, served []wire.Served, fresh bool) {
 	if fresh {
-		o.unserve(s)
-		s.served = map[string]remote{}
+		o.clearServing(s)
+		s.served = map[string]remoteService{}
 	}
 	named := make(map[string]bool, len(served))
 	for _, v := range served {
 		named[v.Account] = true
-		o.learnOne(s, v)
+		o.applyServedAccount(s, v)
 	}
 	for _, name := range sorted(s.served) {
 		r := s.served[name]
 		if !named[name] && r.serving {
-			o.learnOne(s, wire.Served{Account: name, Tokens: r.tokens})
+			o.applyServedAccount(s, wire.Served{Account: name, Tokens: r.tokens})
 		}
 	}
 }
 
-func (o *Owner) learnOne(s *sibling, v wire.Served) {
+func (o *Owner) applyServedAccount(s *sibling, v wire.Served) {
 	a := o.account(v.Account)
 	r, known := s.served[v.Account]
 	if known {
 		a.limit.spend(v.Tokens-r.tokens, 0)
 		guessed := 0.0
 		if r.serving && o.opt.estimator == ScaledByZones {
-			guessed = a.own - r.ownAt
+			guessed = a.served - r.localAtShare
 		}
 		o.queue.Charge(v.Account, v.Tokens-r.tokens-guessed)
 	}
 	serving := known && v.Tokens > r.tokens
-	a.zones += boolToInt(serving) - boolToInt(r.serving)
-	s.served[v.Account] = remote{tokens: v.Tokens, ownAt: a.own, serving: serving}
+	a.servingSiblings += boolToInt(serving) - boolToInt(r.serving)
+	s.served[v.Account] = remoteService{tokens: v.Tokens, localAtShare: a.served, serving: serving}
 }
 
 func boolToInt(b bool) int {
@@ -45,10 +45,10 @@
 	return 0
 }
 
-func (o *Owner) unserve(s *sibling) {
+func (o *Owner) clearServing(s *sibling) {
 	for name, r := range s.served {
 		if r.serving {
-			o.account(name).zones--
+			o.account(name).servingSiblings--
 			r.serving = false
 			s.served[name] = r
 		}
--- a/pkg/pool/share.go
+++ b/pkg/pool/share.go
@@ -9,36 +9,37 @@
 
 // sibling is the owner of another pool of the same model.
 type sibling struct {
-	node  string
-	epoch uint64
-	seq   uint64
-	heard time.Duration
-	known bool
-	free  int
-	slots int
-	// stamp is the last one received.
+	node     string
+	epoch    uint64
+	seq      uint64
+	lastSeen time.Duration
+	known    bool
+	free     int
+	slots    int
+	// stamp is the last stamp received.
 	stamp wire.Stamp
-	// seenGrant is the Seq of the last grant received from it.
+	// seenGrant is the Seq of the last grant received from the sibling.
 	seenGrant uint64
-	served    map[string]remote
+	served    map[string]remoteService
 	limited   map[string]wire.Limited
-	// asks are the accounts with work waiting at the sibling.
-	asks map[string]bool
+	// waiting is the set of accounts with requests waiting at the sibling.
+	waiting map[string]bool
 }
 
-// remote is an account's service as a sibling last told it.
-type remote struct {
+// remoteService is an account's service according to a sibling's last share.
+type remoteService struct {
 	tokens float64
-	// ownAt is this owner's own service of the account at that time.
-	ownAt float64
-	// serving says that the sibling's last share raised the service.
+	// localAtShare is this owner's own service of the account when that share
+	// arrived.
+	localAtShare float64
+	// serving is whether the sibling's last share increased the service.
 	serving bool
 }
 
 // Siblings replaces the owners of the model's other pools, by pool.
 type Siblings struct{ Nodes map[wire.Pool]string }
 
-// Share is another owner's share.
+// Share is a share from the owner of another pool.
 type Share struct {
 	From string
 	Msg  *wire.Share
@@ -49,11 +50,11 @@
 		node := e.Nodes[p]
 		s, ok := o.siblings[p]
 		if !ok {
-			s = &sibling{served: map[string]remote{}}
+			s = &sibling{served: map[string]remoteService{}}
 			o.siblings[p] = s
 		}
 		if s.node != node {
-			o.dropClaimer(claimant{node: s.node, pool: p})
+			o.dropRequester(requesterID{node: s.node, pool: p})
 			s.node = node
 			s.seenGrant = 0
 		}
@@ -61,8 +62,8 @@
 	for _, p := range o.siblingPools() {
 		s := o.siblings[p]
 		if _, ok := e.Nodes[p]; !ok {
-			o.dropClaimer(claimant{node: s.node, pool: p})
-			o.unserve(s)
+			o.dropRequester(requesterID{node: s.node, pool: p})
+			o.clearServing(s)
 			delete(o.siblings, p)
 		}
 	}
@@ -77,100 +78,99 @@
 		return
 	}
 	fresh := !s.known || s.epoch != e.Msg.Epoch
-	s.epoch, s.seq, s.heard, s.known = e.Msg.Epoch, e.Msg.Seq, o.now, true
+	s.epoch, s.seq, s.lastSeen, s.known = e.Msg.Epoch, e.Msg.Seq, o.now, true
 	s.free, s.slots, s.stamp = e.Msg.Free, e.Msg.Slots, e.Msg.Stamp
-	o.learn(s, e.Msg.Served, fresh)
-	o.agree(e.Msg.Served)
-	o.learnLimited(s, e.Msg.Limited, fresh)
-	s.asks = make(map[string]bool, len(e.Msg.Waiting))
+	o.applyServed(s, e.Msg.Served, fresh)
+	o.converge(e.Msg.Served)
+	o.applyLimited(s, e.Msg.Limited, fresh)
+	s.waiting = make(map[string]bool, len(e.Msg.Waiting))
 	for _, v := range e.Msg.Waiting {
-		s.asks[v.Account] = true
+		s.waiting[v.Account] = true
 	}
-	o.setClaims(claimant{node: e.From, pool: e.Msg.From}, e.Msg.Waiting, e.Msg.Seen, true)
+	o.setDemands(requesterID{node: e.From, pool: e.Msg.From}, e.Msg.Waiting, e.Msg.Seen, true)
 }
 
-// agree moves the virtual times of accounts that are active here towards the
-// sender's. Owners start and lift accounts at different moments; without this
-// each would hold on to its own idea of who is behind, and serve only those.
-func (o *Owner) agree(served []wire.Served) {
-	if o.opt.agree == 0 {
+// converge moves the virtual times of active accounts towards the sender's.
+// Owners start and activate accounts at different times; without convergence
+// each would favor the accounts that are behind only in its own view.
+func (o *Owner) converge(served []wire.Served) {
+	if o.opt.convergence == 0 {
 		return
 	}
 	sum, n := 0.0, 0.0
 	for _, v := range served {
 		if o.queue.Get(v.Account).Active {
-			sum += float64(v.VirtualTime) - o.sure(o.account(v.Account))
+			sum += float64(v.VirtualTime) - o.confirmedVirtualTime(o.account(v.Account))
 			n++
 		}
 	}
 	for _, v := range served {
 		if a := o.queue.Get(v.Account); a.Active {
-			off := float64(v.VirtualTime) - o.sure(o.account(v.Account)) - sum/n
-			o.queue.Charge(v.Account, o.opt.agree*off*a.Weight)
+			off := float64(v.VirtualTime) - o.confirmedVirtualTime(o.account(v.Account)) - sum/n
+			o.queue.Charge(v.Account, o.opt.convergence*off*a.Weight)
 		}
 	}
 }
 
-// sure returns an account's virtual time without the guesses of what other
-// zones gave it since their last shares.
-func (o *Owner) sure(a *account) float64 {
+// confirmedVirtualTime returns an account's virtual time without the estimated
+// service by other zones.
+func (o *Owner) confirmedVirtualTime(a *account) float64 {
 	q := o.queue.Get(a.name)
-	return q.VirtualTime - o.guessed(a)/q.Weight
+	return q.VirtualTime - o.guessedTokens(a)/q.Weight
 }
 
-// guessed returns the tokens that charge added for other zones since their
-// last shares.
-func (o *Owner) guessed(a *account) float64 {
-	if o.opt.estimator != ScaledByZones || a.zones == 0 {
+// guessedTokens returns the tokens that charge added for other zones since
+// their last shares.
+func (o *Owner) guessedTokens(a *account) float64 {
+	if o.opt.estimator != ScaledByZones || a.servingSiblings == 0 {
 		return 0
 	}
 	sum := 0.0
 	for _, s := range o.siblings {
 		if r := s.served[a.name]; r.serving {
-			sum += a.own - r.ownAt
+			sum += a.served - r.localAtShare
 		}
 	}
 	return sum
 }
 
-// dropSilentSiblings forgets the demand of owners that are cut off.
+// dropSilentSiblings drops the demands of siblings that have timed out.
 func (o *Owner) dropSilentSiblings() {
 	for _, p := range o.siblingPools() {
 		s := o.siblings[p]
-		if s.known && o.now-s.heard >= o.silence() {
+		if s.known && o.now-s.lastSeen >= o.siblingTimeout() {
 			s.known = false
 			s.free = 0
-			o.unserve(s)
-			o.dropClaimer(claimant{node: s.node, pool: p})
+			o.clearServing(s)
+			o.dropRequester(requesterID{node: s.node, pool: p})
 		}
 	}
 }
 
-// wantShare asks for a share before the next regular one, because work waits
-// here that idle slots elsewhere could take.
-func (o *Owner) wantShare() {
+// requestShare sends a share early if new requests wait here and a sibling may
+// have idle slots.
+func (o *Owner) requestShare() {
 	if len(o.siblings) == 0 {
 		return
 	}
 	o.shareDirty = true
-	if o.untold && o.someIdle() && o.now-o.lastShare >= ShareInterval(o.opt.shareSoonest, len(o.siblings)) {
+	if o.unreported && o.anySiblingIdle() && o.now-o.lastShare >= ShareInterval(o.opt.minShareInterval, len(o.siblings)) {
 		o.shareAll()
 	}
 }
 
 func (o *Owner) localWaiting(a *account) int {
 	n := 0
-	for who, c := range a.claims {
-		if who.pool == o.pool {
+	for id, c := range a.demands {
+		if id.pool == o.pool {
 			n += c.count()
 		}
 	}
 	return n
 }
 
-// someIdle reports whether a sibling may have idle slots; where all are busy,
-// news of work can wait for the regular share.
-func (o *Owner) someIdle() bool {
+// anySiblingIdle reports whether a sibling may have idle slots.
+func (o *Owner) anySiblingIdle() bool {
 	for _, s := range o.siblings {
 		if !s.known || s.free > 0 {
 			return true
@@ -179,8 +179,8 @@
 	return false
 }
 
-// shareIfDue sends the regular share. An owner with nothing to tell shares
-// idleShares times more rarely, so that others know it is there.
+// shareIfDue sends the regular share. Without changes it sends one only every
+// idleShareFactor intervals, as a keepalive.
 func (o *Owner) shareIfDue() {
 	if len(o.siblings) == 0 {
 		return
@@ -190,35 +190,36 @@
 	if since < every {
 		return
 	}
-	if !o.asking && !o.shareDirty && !o.anyChanged() && since < idleShares*every {
+	if !o.askedForSlots && !o.shareDirty && !o.anyChanged() && since < idleShareFactor*every {
 		return
 	}
 	o.shareAll()
 }
 
 // ShareInterval returns the time between two shares of a pool with that many
-// siblings. It grows with them, so that a pool's traffic does not.
+// siblings. It grows with their number, so that the traffic of a pool stays
+// constant.
 func ShareInterval(every time.Duration, siblings int) time.Duration {
 	return every * time.Duration(max(siblings-1, 1))
 }
 
 func (o *Owner) shareInterval() time.Duration {
-	return ShareInterval(o.opt.shareEvery, len(o.siblings))
+	return ShareInterval(o.opt.shareInterval, len(o.siblings))
 }
 
-// silence is after what time a sibling that says nothing counts as cut off:
-// as its own shares may be as far apart as this owner's, some more than that.
-func (o *Owner) silence() time.Duration {
+// siblingTimeout returns how long after its last share a sibling counts as
+// disconnected. It allows for a sibling that has nothing to report.
+func (o *Owner) siblingTimeout() time.Duration {
 	every := o.shareInterval()
-	return max(o.opt.siblingSilence, (idleShares+2)*every)
+	return max(o.opt.siblingTimeout, (idleShareFactor+2)*every)
 }
 
-// idleShares is how many intervals pass between shares with no news.
-const idleShares = 4
+// idleShareFactor is the number of intervals between shares without changes.
+const idleShareFactor = 4
 
 func (o *Owner) anyChanged() bool {
 	for _, a := range o.accounts {
-		if a.changed || a.told > 0 {
+		if a.changed || a.sharedWaiting > 0 {
 			return true
 		}
 	}
@@ -228,13 +229,13 @@
 func (o *Owner) shareAll() {
 	o.lastShare = o.now
 	o.shareDirty = false
-	o.untold = false
+	o.unreported = false
 	o.shareSeq++
-	served := o.servedNews()
-	limited := o.limitedNews()
+	served := o.changedService()
+	limited := o.limitedUsage()
 	pools := o.siblingPools()
-	waiting := o.slices(pools)
-	o.asking = slices.ContainsFunc(waiting, func(w []wire.Waiting) bool { return len(w) > 0 })
+	waiting := o.splitWaiting(pools)
+	o.askedForSlots = slices.ContainsFunc(waiting, func(w []wire.Waiting) bool { return len(w) > 0 })
 	free := o.freeSlots()
 	slots := o.slots()
 	for i, p := range pools {
@@ -250,26 +251,26 @@
 	return wire.SortedPools(o.siblings)
 }
 
-// servedNews lists the accounts whose service changed since the last share,
-// and once more those that stopped changing.
-func (o *Owner) servedNews() []wire.Served {
+// changedService returns the service of accounts that are active or changed
+// since the last share, and one final entry for accounts that stopped changing.
+func (o *Owner) changedService() []wire.Served {
 	var served []wire.Served
 	least := o.queue.MinVirtualTime()
 	for _, name := range sorted(o.accounts) {
 		a := o.accounts[name]
-		if a.changed || a.sent || o.queue.Get(name).Active {
-			served = append(served, wire.Served{Account: name, Tokens: a.own, VirtualTime: float32(o.sure(a) - least)})
+		if a.changed || a.inLastShare || o.queue.Get(name).Active {
+			served = append(served, wire.Served{Account: name, Tokens: a.served, VirtualTime: float32(o.confirmedVirtualTime(a) - least)})
 		}
-		a.sent = a.changed
+		a.inLastShare = a.changed
 		a.changed = false
 	}
 	return served
 }
 
-// slices divides the work that waits here among the siblings, so that not
-// all of them send leases for the same request: first by their free slots,
-// the rest evenly, the odd ones in turn.
-func (o *Owner) slices(pools []wire.Pool) [][]wire.Waiting {
+// splitWaiting divides the waiting requests among the siblings, so that they do
+// not lend several leases for the same request: first by their free slots, the
+// rest evenly, with the remainder rotating.
+func (o *Owner) splitWaiting(pools []wire.Pool) [][]wire.Waiting {
 	parts := make([][]wire.Waiting, len(pools))
 	if len(pools) == 0 {
 		return parts
@@ -281,13 +282,13 @@
 	for _, name := range o.activeNames() {
 		a := o.accounts[name]
 		n := o.localWaiting(a)
-		a.told = n
-		o.slice(a, n, free, parts)
+		a.sharedWaiting = n
+		o.splitAccount(a, n, free, parts)
 	}
 	return parts
 }
 
-func (o *Owner) slice(a *account, n int, free []int, parts [][]wire.Waiting) {
+func (o *Owner) splitAccount(a *account, n int, free []int, parts [][]wire.Waiting) {
 	k := len(parts)
 	counts := make([]int, k)
 	for i := range free {
@@ -315,7 +316,7 @@
 		if o.queue.Get(name).Active {
 			names = append(names, name)
 		} else {
-			o.accounts[name].told = 0
+			o.accounts[name].sharedWaiting = 0
 		}
 	}
 	return names
--- a/pkg/tablesync/tablesync.go
+++ b/pkg/tablesync/tablesync.go
@@ -1,7 +1,7 @@
-// Package tablesync decides which version of the table is in force at a
-// router: never a lower one than before, and at the start never the
-// platform's word alone while a peer may know better. It is a pure state
-// machine.
+// Package tablesync decides which revision of the table a router has in force.
+// The revision never decreases. At its start the router asks its peers before
+// it accepts the platform's table, which may be older. The package is a pure
+// state machine.
 package tablesync
 
 import (
@@ -16,67 +16,69 @@
 
 // The defaults.
 const (
-	// DefaultStartupTimeout is how long a router that starts waits for its peers.
+	// DefaultStartupTimeout is how long a starting router waits for its peers'
+	// tables.
 	DefaultStartupTimeout = 500 * time.Millisecond
-	// DefaultRequestInterval is the least time between two asks of one version.
+	// DefaultRequestInterval is the minimum time between two requests for the
+	// same revision.
 	DefaultRequestInterval = 300 * time.Millisecond
-	// DefaultReaders is how many routers of a zone watch the platform.
+	// DefaultReaders is the number of routers per zone that watch the platform.
 	DefaultReaders = 2
-	// deltasKept bounds the deltas kept for peers that are a little behind.
-	deltasKept = 64
+	// maxDeltas limits the deltas kept for peers with an older table.
+	maxDeltas = 64
 	// readerKey is hashed to choose the readers.
 	readerKey = "table-reader"
 )
 
-// Event is what Sync takes in one Step.
+// Event is an input of Sync.Step.
 type Event interface{ apply(s *Sync) }
 
-// Start says which peers can be asked, at the router's start.
+// Start lists the peers to ask for their table at the router's start.
 type Start struct{ Peers []string }
 
 // LiveRouters replaces the live routers of the zone.
 type LiveRouters struct{ Names []string }
 
-// Tick lets time pass.
+// Tick advances the time.
 type Tick struct{}
 
-// PlatformValue is a value that this router read from the platform.
+// PlatformValue is a table that this router read from the platform.
 type PlatformValue struct {
 	Revision uint64
-	// Table is nil if the value was refused; Err then says why.
+	// Table is nil if the value is invalid; Err is then the reason.
 	Table *table.Table
 	Err   error
 }
 
-// Revision is what a peer says it has in force.
+// Revision is the revision in force at a peer.
 type Revision struct {
 	From     string
 	Revision uint64
 }
 
-// TableRequested is a peer's TableRequest.
+// TableRequested is a peer's request for the table.
 type TableRequested struct {
 	From string
 	Msg  *wire.TableRequest
 }
 
-// Unreachable says that no process listens at a peer's address, so that it
-// will not answer.
+// Unreachable reports that a peer's address refused a connection, so the peer
+// will not reply.
 type Unreachable struct{ Peer string }
 
-// FullTable is a peer's FullTable.
+// FullTable is a peer's complete table.
 type FullTable struct {
 	From string
 	Msg  *wire.FullTable
 }
 
-// Delta is a peer's TableDelta.
+// Delta is a table delta from a peer.
 type Delta struct {
 	From string
 	Msg  *wire.TableDelta
 }
 
-// Action is what the caller of Step does.
+// Action is an output of Sync.Step that the caller executes.
 type Action interface{ action() }
 
 // Send is a message to another router.
@@ -88,7 +90,7 @@
 // Activate puts a table in force.
 type Activate struct{ Table *table.Table }
 
-// Rejected reports an edit that stays out of force.
+// Rejected reports an invalid revision that is not put in force.
 type Rejected struct {
 	Revision uint64
 	Err      error
@@ -98,34 +100,35 @@
 func (Activate) action() {}
 func (Rejected) action() {}
 
-// Sync is the state of one router.
+// Sync is the table state of one router.
 type Sync struct {
 	self  string
 	now   time.Duration
 	state chart.State
-	// cur is in force; best is the highest seen while asking.
-	cur  *table.Table
-	best *table.Table
-	// started is when the asking began; unanswered are the peers asked.
-	started    time.Duration
+	// current is in force; newestSeen is the newest received during startup.
+	current    *table.Table
+	newestSeen *table.Table
+	// startedAt is the time of the startup requests; unanswered contains the
+	// peers that have not replied.
+	startedAt  time.Duration
 	unanswered map[string]bool
 	live       []string
-	// chosen says that this router is one of the zone's readers.
-	chosen   bool
-	deltas   []table.Delta
-	askedAt  time.Duration
-	askedRev uint64
-	refused  *Rejected
-	out      []Action
+	// assignedReader is whether this router is one of the zone's readers.
+	assignedReader    bool
+	deltas            []table.Delta
+	requestedAt       time.Duration
+	requestedRevision uint64
+	rejected          *Rejected
+	out               []Action
 }
 
-// New returns the state of a router without memory.
+// New returns the state of a router without a table.
 func New(self string) *Sync {
-	return &Sync{self: self, state: chart.Table.Initial, unanswered: map[string]bool{}, live: []string{self}, chosen: true}
+	return &Sync{self: self, state: chart.Table.Initial, unanswered: map[string]bool{}, live: []string{self}, assignedReader: true}
 }
 
-// Step takes one event at the time now. The returned slice is valid until
-// the next Step.
+// Step applies one event at the time now and returns the actions to execute.
+// The returned slice is valid until the next Step.
 func (s *Sync) Step(now time.Duration, ev Event) []Action {
 	s.now = max(s.now, now)
 	s.out = s.out[:0]
@@ -133,29 +136,29 @@
 	return s.out
 }
 
-// Revision returns the revision in force, 0 before there is one.
+// Revision returns the revision in force, 0 if there is none.
 func (s *Sync) Revision() uint64 {
-	if s.cur == nil {
+	if s.current == nil {
 		return 0
 	}
-	return s.cur.Revision
+	return s.current.Revision
 }
 
-// LastRejected returns the newest refused edit, nil if none.
-func (s *Sync) LastRejected() *Rejected { return s.refused }
+// LastRejected returns the newest rejected revision, nil if none.
+func (s *Sync) LastRejected() *Rejected { return s.rejected }
 
 // Reader reports whether this router watches the platform: it is one of the
-// zone's readers, or it has no table and nobody gave it one.
+// zone's readers, or it has received no table from its peers.
 func (s *Sync) Reader() bool {
-	if s.state == chart.Asking && s.best == nil && s.now-s.started >= DefaultStartupTimeout/2 {
+	if s.state == chart.Asking && s.newestSeen == nil && s.now-s.startedAt >= DefaultStartupTimeout/2 {
 		return true
 	}
-	return s.chosen
+	return s.assignedReader
 }
 
-func (s *Sync) act(a Action) { s.out = append(s.out, a) }
+func (s *Sync) emit(a Action) { s.out = append(s.out, a) }
 
-func (s *Sync) move(on chart.Event) bool {
+func (s *Sync) transition(on chart.Event) bool {
 	next, err := chart.Table.Next(s.state, on)
 	if err != nil {
 		return false
@@ -165,98 +168,99 @@
 }
 
 func (e Start) apply(s *Sync) {
-	s.started = s.now
+	s.startedAt = s.now
 	for _, p := range e.Peers {
 		if p != s.self {
 			s.unanswered[p] = true
-			s.act(Send{To: p, Msg: &wire.TableRequest{}})
+			s.emit(Send{To: p, Msg: &wire.TableRequest{}})
 		}
 	}
 }
 
 func (e Unreachable) apply(s *Sync) {
 	delete(s.unanswered, e.Peer)
-	s.settle()
+	s.finishStartup()
 }
 
 func (e LiveRouters) apply(s *Sync) {
 	s.live = e.Names
-	s.chosen = slices.Contains(rendezvous.Owners(readerKey, s.live, DefaultReaders), s.self)
+	s.assignedReader = slices.Contains(rendezvous.Owners(readerKey, s.live, DefaultReaders), s.self)
 }
 
-func (Tick) apply(s *Sync) { s.settle() }
+func (Tick) apply(s *Sync) { s.finishStartup() }
 
-// settle ends the asking once all peers answered or had their time.
-func (s *Sync) settle() {
-	if s.state != chart.Asking || s.best == nil {
+// finishStartup puts the newest table received in force once all peers have
+// replied or the startup timeout has passed.
+func (s *Sync) finishStartup() {
+	if s.state != chart.Asking || s.newestSeen == nil {
 		return
 	}
-	if len(s.unanswered) > 0 && s.now-s.started < DefaultStartupTimeout {
+	if len(s.unanswered) > 0 && s.now-s.startedAt < DefaultStartupTimeout {
 		return
 	}
-	if s.move(chart.Settle) {
-		s.enforce(s.best)
-		s.best = nil
+	if s.transition(chart.Settle) {
+		s.activate(s.newestSeen)
+		s.newestSeen = nil
 	}
 }
 
-func (s *Sync) enforce(t *table.Table) {
-	old := s.cur
-	s.cur = t
-	s.act(Activate{Table: t})
+func (s *Sync) activate(t *table.Table) {
+	old := s.current
+	s.current = t
+	s.emit(Activate{Table: t})
 	if old == nil {
 		return
 	}
 	s.deltas = append(s.deltas, table.Diff(old, t))
-	if len(s.deltas) > deltasKept {
+	if len(s.deltas) > maxDeltas {
 		s.deltas = s.deltas[1:]
 	}
 }
 
-// consider takes a table from anywhere: in force if it is the newest.
-func (s *Sync) consider(t *table.Table) bool {
+// offer puts a table in force if it is newer than the current one, and reports
+// whether it did. During startup it only keeps the newest table.
+func (s *Sync) offer(t *table.Table) bool {
 	if s.state == chart.Asking {
-		if s.best == nil || t.Revision > s.best.Revision {
-			s.best = t
+		if s.newestSeen == nil || t.Revision > s.newestSeen.Revision {
+			s.newestSeen = t
 		}
-		s.settle()
+		s.finishStartup()
 		return false
 	}
 	if t.Revision <= s.Revision() {
-		s.move(chart.Older)
+		s.transition(chart.Older)
 		return false
 	}
-	if !s.move(chart.Newer) {
+	if !s.transition(chart.Newer) {
 		return false
 	}
-	s.enforce(t)
+	s.activate(t)
 	return true
 }
 
 func (e PlatformValue) apply(s *Sync) {
 	if e.Table == nil {
-		if e.Revision > s.Revision() && s.move(chart.Bad) {
-			s.refused = &Rejected{Revision: e.Revision, Err: e.Err}
-			s.act(*s.refused)
+		if e.Revision > s.Revision() && s.transition(chart.Bad) {
+			s.rejected = &Rejected{Revision: e.Revision, Err: e.Err}
+			s.emit(*s.rejected)
 		}
 		return
 	}
 	e.Table.Revision = e.Revision
-	if s.consider(e.Table) {
-		s.push()
+	if s.offer(e.Table) {
+		s.pushDelta()
 	}
 }
 
-// push sends the newest step to the zone, so that no peer waits to hear of
-// it by chance.
-func (s *Sync) push() {
+// pushDelta sends the latest change to all live routers of the zone.
+func (s *Sync) pushDelta() {
 	if len(s.deltas) == 0 {
 		return
 	}
 	d := s.deltas[len(s.deltas)-1]
 	for _, name := range s.live {
 		if name != s.self {
-			s.act(Send{To: name, Msg: &wire.TableDelta{Delta: d}})
+			s.emit(Send{To: name, Msg: &wire.TableDelta{Delta: d}})
 		}
 	}
 }
@@ -265,55 +269,55 @@
 	if e.Revision <= s.Revision() || s.state == chart.Asking && s.unanswered[e.From] {
 		return
 	}
-	if e.Revision <= s.askedRev && s.now-s.askedAt < DefaultRequestInterval {
+	if e.Revision <= s.requestedRevision && s.now-s.requestedAt < DefaultRequestInterval {
 		return
 	}
-	s.askedRev = e.Revision
-	s.askedAt = s.now
-	s.act(Send{To: e.From, Msg: &wire.TableRequest{Have: s.Revision()}})
+	s.requestedRevision = e.Revision
+	s.requestedAt = s.now
+	s.emit(Send{To: e.From, Msg: &wire.TableRequest{Have: s.Revision()}})
 }
 
 func (e TableRequested) apply(s *Sync) {
-	if s.cur == nil {
-		s.act(Send{To: e.From, Msg: &wire.FullTable{}})
+	if s.current == nil {
+		s.emit(Send{To: e.From, Msg: &wire.FullTable{}})
 		return
 	}
-	if e.Msg.Have >= s.cur.Revision {
+	if e.Msg.Have >= s.current.Revision {
 		return
 	}
 	for i, d := range s.deltas {
 		if d.From == e.Msg.Have {
 			for _, step := range s.deltas[i:] {
-				s.act(Send{To: e.From, Msg: &wire.TableDelta{Delta: step}})
+				s.emit(Send{To: e.From, Msg: &wire.TableDelta{Delta: step}})
 			}
 			return
 		}
 	}
-	s.act(Send{To: e.From, Msg: &wire.FullTable{
-		Revision: s.cur.Revision, Accounts: s.cur.Accounts, Backends: s.cur.Backends,
+	s.emit(Send{To: e.From, Msg: &wire.FullTable{
+		Revision: s.current.Revision, Accounts: s.current.Accounts, Backends: s.current.Backends,
 	}})
 }
 
 func (e FullTable) apply(s *Sync) {
 	delete(s.unanswered, e.From)
 	if e.Msg.Revision == 0 {
-		s.settle()
+		s.finishStartup()
 		return
 	}
 	t := &table.Table{Revision: e.Msg.Revision, Accounts: e.Msg.Accounts, Backends: e.Msg.Backends}
 	t.Index()
-	s.consider(t)
+	s.offer(t)
 }
 
 func (e Delta) apply(s *Sync) {
 	d := e.Msg.Delta
-	if s.cur == nil || d.To <= s.cur.Revision {
+	if s.current == nil || d.To <= s.current.Revision {
 		return
 	}
-	next, err := s.cur.Apply(d)
+	next, err := s.current.Apply(d)
 	if err != nil {
 		Revision{From: e.From, Revision: d.To}.apply(s)
 		return
 	}
-	s.consider(next)
+	s.offer(next)
 }
