--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -52,8 +52,10 @@
 	started       bool
 	draining      bool
 	// loadFeeds contains the load readers of the owned pools.
-	loadFeeds      map[string]*loadFeed
-	lastSnapshot   time.Duration
+	loadFeeds    map[string]*loadFeed
+	lastSnapshot time.Duration
+	// resumeOwnersAt is the time after a pause from which pools are assigned
+	// again, 0 if there was no pause.
 	resumeOwnersAt time.Duration
 }
 
@@ -89,7 +91,7 @@
 	return c
 }
 
-// step applies one event and then the messages to itself that result from it.
+// step applies one event and then the messages that this router sent to itself.
 func (c *core) step(now time.Duration, ev event) {
 	c.now = now
 	if now-c.lastStep >= pauseThreshold {
--- a/internal/router/pages_test.go
+++ b/internal/router/pages_test.go
@@ -30,6 +30,8 @@
 	return fmt.Appendf(nil, "accounts: [{name: %s, weight: 1, key_sha256: %q}]", name, fmt.Sprintf("%064x", n))
 }
 
+// TestTablePages guards against pages that are read again without a change, or
+// taken at another revision than the index lists.
 func TestTablePages(t *testing.T) {
 	p := &valuesOnly{reads: map[string]int{}, values: map[string]platform.Value{
 		"one": {Revision: 4, Data: account("moka", 1)},
@@ -51,11 +53,11 @@
 		t.Errorf("reads %v: a page that did not change was read again", p.reads)
 	}
 	if _, err = pages.read(context.Background(), index(12, 4, 9)); !errors.Is(err, errPageMismatch) {
-		t.Errorf("a page at another revision was taken: %v", err)
+		t.Errorf("a page at another revision was accepted: %v", err)
 	}
 	p.values["two"] = platform.Value{Revision: 9, Data: account("moka", 4)}
 	got, err = pages.read(context.Background(), index(12, 4, 9))
 	if err != nil || got.Err == nil || !strings.Contains(got.Err.Error(), "two:1: accounts[0].name") {
-		t.Errorf("an account on two pages was taken: %v, %v", got.Err, err)
+		t.Errorf("an account on two pages was accepted: %v, %v", got.Err, err)
 	}
 }
--- a/pkg/allowance/allowance_test.go
+++ b/pkg/allowance/allowance_test.go
@@ -20,6 +20,8 @@
 	return n
 }
 
+// TestSpend guards against a budget that is too large, or that does not recover
+// after a window.
 func TestSpend(t *testing.T) {
 	const second = time.Second
 	tests := map[string]struct {
--- a/pkg/hold/prefix_test.go
+++ b/pkg/hold/prefix_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// TestPickByPrefix guards against a choice that ignores a cached prefix or lets
+// the first request wait too long.
 func TestPickByPrefix(t *testing.T) {
 	newRequest := func(id uint64, prefix uint32, sortTime time.Duration) *request {
 		return &request{Arrive: Arrive{ID: id, Prefix: prefix}, sortTime: sortTime}
--- a/pkg/member/step.go
+++ b/pkg/member/step.go
@@ -58,11 +58,11 @@
 
 // handleTimeout probes a silent member once more and then suspects it. A listed
 // router that has never sent a message is declared dead at once.
-func (m *Members) handleTimeout(p *peer, second bool) {
+func (m *Members) handleTimeout(p *peer, retry bool) {
 	switch {
 	case p.incarnation == 0:
 		m.setState(p, wire.Dead)
-	case !second:
+	case !retry:
 		m.probe(p.name, true)
 	default:
 		m.setState(p, wire.Suspect)
@@ -104,9 +104,9 @@
 	m.nextIndex = 0
 }
 
-func (m *Members) probe(to string, second bool) {
+func (m *Members) probe(to string, retry bool) {
 	m.seq++
-	m.probes[m.seq] = probe{to: to, at: m.now, retry: second}
+	m.probes[m.seq] = probe{to: to, at: m.now, retry: retry}
 	m.send(to, &wire.Probe{Seq: m.seq, Incarnation: m.incarnation, Refutations: m.refutations, Table: m.tableRevision, Rumours: m.rumours(to)})
 }
 
--- a/pkg/pool/charge.go
+++ b/pkg/pool/charge.go
@@ -31,7 +31,7 @@
 		a.limit.activeSince = o.now
 	}
 	if n > 0 && a.limit != nil && o.overLimit(a) {
-		// A limited account keeps its virtual time.
+		// An account over its limit keeps its virtual time.
 		o.queue.Deactivate(a.name)
 		a.idleSince = o.now
 		return
--- a/pkg/pool/decide.go
+++ b/pkg/pool/decide.go
@@ -207,9 +207,9 @@
 		return
 	}
 	slots := o.slots()
-	fairPart := (slots - slots/reserveDivisor) / len(recent)
+	fairShare := (slots - slots/reserveDivisor) / len(recent)
 	for _, n := range recent {
-		o.topUp(n, min(fairPart, maxStanding))
+		o.topUp(n, min(fairShare, maxStanding))
 	}
 	o.flushGrants()
 }
--- a/pkg/pool/limit.go
+++ b/pkg/pool/limit.go
@@ -84,22 +84,22 @@
 // refill refills the buckets of all limited accounts and reactivates accounts
 // that have become able to run.
 func (o *Owner) refill() {
-	part := -1.0
+	fraction := -1.0
 	for _, name := range sorted(o.accounts) {
 		a := o.accounts[name]
 		if a.limit == nil {
 			continue
 		}
-		if part < 0 {
-			part = o.limitFraction()
+		if fraction < 0 {
+			fraction = o.limitFraction()
 		}
-		a.limit.refill(o.now, part)
+		a.limit.refill(o.now, fraction)
 		o.updateQueue(a)
 	}
 }
 
-func (l *limiter) refill(now time.Duration, part float64) {
-	dt := (now - l.filledAt).Seconds() * part
+func (l *limiter) refill(now time.Duration, fraction float64) {
+	dt := (now - l.filledAt).Seconds() * fraction
 	l.filledAt = now
 	l.requests = min(l.Requests*burst, l.requests+l.Requests*dt)
 	l.tokens = min(l.Tokens*burst, l.tokens+l.Tokens*dt)
@@ -127,18 +127,18 @@
 	if total == 0 {
 		return float64(l.InFlight)
 	}
-	each := float64(l.InFlight) / total
-	mine := each * float64(o.slots())
+	perSlot := float64(l.InFlight) / total
+	ownShare := perSlot * float64(o.slots())
 	if o.now-l.activeSince < 2*o.shareInterval() {
-		return mine
+		return ownShare
 	}
 	for _, s := range o.siblings {
-		theirs := each * o.slotsOf(s)
+		siblingShare := perSlot * o.slotsOf(s)
 		if s.known && !s.usesAccount(a.name) {
-			mine += max(0, theirs-float64(s.limited[a.name].Running))
+			ownShare += max(0, siblingShare-float64(s.limited[a.name].Running))
 		}
 	}
-	return mine
+	return ownShare
 }
 
 // slotsOf returns a sibling's slots, or this pool's own number if the sibling
--- a/pkg/pool/options.go
+++ b/pkg/pool/options.go
@@ -55,16 +55,21 @@
 	shareInterval       time.Duration
 	minShareInterval    time.Duration
 	siblingTimeout      time.Duration
-	calmPeriod          time.Duration
-	recentUse           time.Duration
-	idleGrace           time.Duration
-	initialEstimate     float64
-	estimator           Estimator
-	takeoverDelay       time.Duration
-	convergence         float64
-	extrapolate         bool
-	initialRate         float64
-	chargeHorizon       time.Duration
+	// calmPeriod is how long no request must have waited before standing leases
+	// are granted.
+	calmPeriod time.Duration
+	// recentUse is how long after its last request a router gets standing leases.
+	recentUse time.Duration
+	// idleGrace is the idle time after which the virtual time of an account is
+	// clamped when it becomes active.
+	idleGrace       time.Duration
+	initialEstimate float64
+	estimator       Estimator
+	takeoverDelay   time.Duration
+	convergence     float64
+	extrapolate     bool
+	initialRate     float64
+	chargeHorizon   time.Duration
 }
 
 func defaults() options {
@@ -98,8 +103,8 @@
 
 // WithConvergence sets the fraction of the difference between two owners'
 // virtual times that each share removes, from 0 to 1.
-func WithConvergence(part float64) Option {
-	return func(o *options) { o.convergence = part }
+func WithConvergence(fraction float64) Option {
+	return func(o *options) { o.convergence = fraction }
 }
 
 // WithChargeHorizon sets the service time that a grant charges in advance.
--- a/pkg/pool/owner.go
+++ b/pkg/pool/owner.go
@@ -62,10 +62,12 @@
 	askedForSlots  bool
 	lastContention time.Duration
 	out            []Send
-	takingOver     bool
-	batch          map[batchKey]*wire.Grant
-	batchOrder     []batchKey
-	stats          Stats
+	// takingOver is whether leases of a former owner may still be in use, so that
+	// this owner grants nothing yet.
+	takingOver bool
+	batch      map[batchKey]*wire.Grant
+	batchOrder []batchKey
+	stats      Stats
 }
 
 // requesterID identifies a receiver of leases: a router, or the owner of
@@ -77,7 +79,8 @@
 
 type server struct {
 	Server
-	used     int
+	used int
+	// unleased is the number of running requests that no lease here accounts for.
 	unleased int
 	// peak is the maximum of used since the last load report, because a delayed
 	// report may still count those requests.
@@ -146,7 +149,7 @@
 	unseenGrants []uint64
 }
 
-func (c *demand) count() int { return max(0, c.reported-len(c.unseenGrants)) }
+func (d *demand) count() int { return max(0, d.reported-len(d.unseenGrants)) }
 
 // requester is the state of a router, or of another pool's owner, that asks for
 // slots.
--- a/pkg/pool/share.go
+++ b/pkg/pool/share.go
@@ -292,10 +292,10 @@
 	k := len(parts)
 	counts := make([]int, k)
 	for i := range free {
-		take := min(n, free[i])
-		counts[i] += take
-		free[i] -= take
-		n -= take
+		taken := min(n, free[i])
+		counts[i] += taken
+		free[i] -= taken
+		n -= taken
 	}
 	for i := range counts {
 		counts[i] += n / k
