--- a/cmd/yarrowctl/cmd_burn.go
+++ b/cmd/yarrowctl/cmd_burn.go
@@ -24,22 +24,22 @@
 
 var cmdBurn = &command.Command{
 	Name:        "burn",
-	Description: "reports how fast the service levels' budgets burn, worst first",
+	Description: "prints the error-budget burn rates of all service levels, highest first",
 	Flags: func(s *flaggy.Subcommand) {
 		burnArgs.rows = defaultBurnRows
 		burnArgs.flags(s)
-		s.String(&burnArgs.picture, "o", "picture", "also draw to this file, .svg or .png")
-		s.Int(&burnArgs.rows, "n", "rows", "how many rows to print")
+		s.String(&burnArgs.picture, "o", "picture", "also write a chart to this file, .svg or .png")
+		s.Int(&burnArgs.rows, "n", "rows", "number of rows to print")
 	},
 	Run: runBurn,
 }
 
 func runBurn(c *command.Context) error {
-	asker, routers, err := burnArgs.reach()
+	client, routers, err := burnArgs.connect()
 	if err != nil {
 		return err
 	}
-	r, err := collectBurn(asker, routers)
+	r, err := collectBurn(client, routers)
 	if err != nil {
 		return err
 	}
@@ -59,17 +59,17 @@
 	return err
 }
 
-func collectBurn(asker *fleet.Client, routers []fleet.Router) (*burn.Report, error) {
+func collectBurn(client *fleet.Client, routers []fleet.Router) (*burn.Report, error) {
 	var snapshots []burn.Snapshot
-	var missing []string
-	for _, a := range fleet.Query[burn.Snapshot](asker, routers, admin.PathBurn) {
-		if a.Error != "" {
-			missing = append(missing, a.Router.Name)
+	var unreachable []string
+	for _, resp := range fleet.Query[burn.Snapshot](client, routers, admin.PathBurn) {
+		if resp.Error != "" {
+			unreachable = append(unreachable, resp.Router.Name)
 			continue
 		}
-		snapshots = append(snapshots, a.Value)
+		snapshots = append(snapshots, resp.Value)
 	}
-	return burn.Merge(snapshots, missing)
+	return burn.Merge(snapshots, unreachable)
 }
 
 func printBurn(c *command.Context, r *burn.Report) error {
--- a/cmd/yarrowctl/cmd_capacity.go
+++ b/cmd/yarrowctl/cmd_capacity.go
@@ -18,11 +18,11 @@
 
 var cmdCapacity = &command.Command{
 	Name:        "capacity",
-	Description: "works out what each role costs at the target size, from measured slopes",
+	Description: "estimates the resources that each role needs at the target size from measured slopes",
 	Flags: func(s *flaggy.Subcommand) {
 		capacityArgs.slopes = "docs/slopes.yaml"
-		s.String(&capacityArgs.slopes, "f", "slopes", "file of the slopes")
-		s.Float64(&capacityArgs.open, "w", "open-memory", "with --measure: bytes of an open request, from make bench")
+		s.String(&capacityArgs.slopes, "f", "slopes", "slopes file")
+		s.Float64(&capacityArgs.open, "w", "open-memory", "with --measure: memory of an open request in bytes, from make bench")
 		s.Bool(&capacityArgs.measure, "m", "measure", "measure the slopes on this machine and print them")
 	},
 	Run: runCapacity,
--- a/cmd/yarrowctl/cmd_check.go
+++ b/cmd/yarrowctl/cmd_check.go
@@ -17,35 +17,35 @@
 
 var cmdCheck = &command.Command{
 	Name:        "check",
-	Description: "checks a table and settings, and names each error with its line",
+	Description: "validates a table and settings and prints each error with its line",
 	Flags: func(s *flaggy.Subcommand) {
-		s.String(&checkArgs.table, "t", "table", "file of the table")
-		s.String(&checkArgs.settings, "s", "settings", "file of a router's settings")
+		s.String(&checkArgs.table, "t", "table", "table file")
+		s.String(&checkArgs.settings, "s", "settings", "settings file of a router")
 	},
 	Run: runCheck,
 }
 
-var errNothingToCheck = errors.New("nothing to check; give --table FILE, --settings FILE or both")
+var errNoFiles = errors.New("no file to check; use --table FILE, --settings FILE or both")
 
 func runCheck(c *command.Context) error {
 	if checkArgs.table == "" && checkArgs.settings == "" {
-		return errNothingToCheck
+		return errNoFiles
 	}
-	bad := false
-	for _, x := range []struct {
+	invalid := false
+	for _, target := range []struct {
 		file  string
 		check func(file string, data []byte) error
 	}{{checkArgs.settings, checkSettings}, {checkArgs.table, checkTable}} {
-		if x.file == "" {
+		if target.file == "" {
 			continue
 		}
-		ok, err := checkFile(c, x.file, x.check)
+		valid, err := checkFile(c, target.file, target.check)
 		if err != nil {
 			return err
 		}
-		bad = bad || !ok
+		invalid = invalid || !valid
 	}
-	if bad {
+	if invalid {
 		return command.ErrFailed
 	}
 	return nil
--- a/cmd/yarrowctl/cmd_counts.go
+++ b/cmd/yarrowctl/cmd_counts.go
@@ -20,27 +20,27 @@
 
 var cmdCounts = &command.Command{
 	Name:        "counts",
-	Description: "counts from the routers' logs how requests ended",
+	Description: "counts requests in the routers' logs by outcome",
 	Flags: func(s *flaggy.Subcommand) {
 		countsArgs.by, countsArgs.every = "time", time.Second
 		s.String(&countsArgs.by, "b", "by", "count by "+strings.Join(explain.GroupNames(), ", "))
-		s.Duration(&countsArgs.every, "e", "every", "with --by time: the length of a row")
-		s.String(&countsArgs.from, "f", "from", "leave out what ended before this time (RFC 3339)")
-		s.String(&countsArgs.to, "t", "to", "leave out what ended after this time (RFC 3339)")
-		s.StringSlice(&countsArgs.logs, "l", "log", "a log file, repeated for each; standard input if none is named")
+		s.Duration(&countsArgs.every, "e", "every", "with --by time: length of the interval per row")
+		s.String(&countsArgs.from, "f", "from", "ignore requests that ended before this time (RFC 3339)")
+		s.String(&countsArgs.to, "t", "to", "ignore requests that ended after this time (RFC 3339)")
+		s.StringSlice(&countsArgs.logs, "l", "log", "log file, may be repeated; default standard input")
 	},
 	Run: runCounts,
 }
 
 func runCounts(c *command.Context) error {
 	if countsArgs.every <= 0 {
-		return fmt.Errorf("--every %s: give a time above zero, such as 1s", countsArgs.every)
+		return fmt.Errorf("--every %s: must be a positive duration, such as 1s", countsArgs.every)
 	}
-	from, err := timeOf("--from", countsArgs.from)
+	from, err := parseTime("--from", countsArgs.from)
 	if err != nil {
 		return err
 	}
-	to, err := timeOf("--to", countsArgs.to)
+	to, err := parseTime("--to", countsArgs.to)
 	if err != nil {
 		return err
 	}
@@ -51,14 +51,14 @@
 	return explain.Counts(c.Out, records, countsArgs.by, countsArgs.every, from, to)
 }
 
-// timeOf reads a bound; "" is none.
-func timeOf(flag, text string) (time.Time, error) {
+// parseTime returns the zero time for an empty text.
+func parseTime(flag, text string) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
 	}
 	t, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return time.Time{}, fmt.Errorf("%s %s: give a time such as 2026-01-02T15:04:05Z", flag, text)
+		return time.Time{}, fmt.Errorf("%s %s: must be an RFC 3339 time, such as 2026-01-02T15:04:05Z", flag, text)
 	}
 	return t, nil
 }
--- a/cmd/yarrowctl/cmd_demo.go
+++ b/cmd/yarrowctl/cmd_demo.go
@@ -14,7 +14,7 @@
 
 var cmdDemo = &command.Command{
 	Name:        "demo",
-	Description: "starts three availability zones in this process and serves census and quiz requests, a route, and a stream that is taken up elsewhere",
+	Description: "runs three availability zones in this process: census and quiz requests, a route, and a stream that resumes on another backend server",
 	Run:         runDemo,
 }
 
--- a/cmd/yarrowctl/cmd_drain.go
+++ b/cmd/yarrowctl/cmd_drain.go
@@ -22,7 +22,7 @@
 
 var cmdDrain = &command.Command{
 	Name:        "drain",
-	Description: "says what is left to do on a leaving or stopping backend server, and when it is safe to stop",
+	Description: "prints the remaining work of a leaving or stopping backend server and whether it is safe to stop",
 	Flags: func(s *flaggy.Subcommand) {
 		drainArgs.flags(s)
 		s.AddPositionalValue(&drainArgs.name, "backend", 1, true, "name of the backend server")
@@ -30,31 +30,32 @@
 	Run: runDrain,
 }
 
-// progress is how far a backend server's drain has come.
+// progress is the drain state of a backend server across the fleet.
 type progress struct {
 	Backend string `json:"backend"`
-	// Safe says that every router answered and that none of them uses the
-	// backend server or may still start anything there.
+	// Safe is set if every router responded and none of them has running requests or
+	// leases on the backend server, or may still start requests there.
 	Safe    bool `json:"safe_to_stop"`
 	Running int  `json:"running"`
 	Leases  int  `json:"leases"`
-	// OldestMillis is how long the oldest stream has run.
+	// OldestMillis is the age of the oldest running request.
 	OldestMillis int64 `json:"oldest_ms"`
-	// Open names routers whose table does not have the mark yet.
+	// Open lists the routers whose table does not mark the backend server as leaving or
+	// stopping.
 	Open []string `json:"mark_not_in_force_on"`
-	// Missing names the routers that did not answer.
+	// Missing lists the routers that did not respond.
 	Missing []string `json:"no_answer_from"`
 }
 
-var errUnknownBackend = errors.New("no router's table lists this backend server; look at the name")
+var errUnknownBackend = errors.New("no router's table lists this backend server; check the name")
 
 func runDrain(c *command.Context) error {
-	asker, routers, err := drainArgs.reach()
+	client, routers, err := drainArgs.connect()
 	if err != nil {
 		return err
 	}
-	p, known := drainProgress(drainArgs.name, fleet.Query[router.Status](asker, routers, admin.PathStatus))
-	if !known && len(p.Missing) == 0 {
+	p, found := drainProgress(drainArgs.name, fleet.Query[router.Status](client, routers, admin.PathStatus))
+	if !found && len(p.Missing) == 0 {
 		return errUnknownBackend
 	}
 	if drainArgs.json {
@@ -68,24 +69,24 @@
 	return err
 }
 
-func drainProgress(name string, answers []fleet.Response[router.Status]) (p progress, known bool) {
+func drainProgress(name string, responses []fleet.Response[router.Status]) (p progress, found bool) {
 	p.Backend = name
-	for _, a := range answers {
-		if a.Error != "" {
-			p.Missing = append(p.Missing, a.Router.Name)
+	for _, resp := range responses {
+		if resp.Error != "" {
+			p.Missing = append(p.Missing, resp.Router.Name)
 			continue
 		}
-		b, listed := a.Value.Backends[name]
-		known = known || listed
-		p.Running += b.Running
-		p.Leases += b.Leases
-		p.OldestMillis = max(p.OldestMillis, b.OldestMillis)
-		if listed && b.Mark != "leaving" && b.Mark != "stopping" {
-			p.Open = append(p.Open, a.Value.Name)
+		backend, listed := resp.Value.Backends[name]
+		found = found || listed
+		p.Running += backend.Running
+		p.Leases += backend.Leases
+		p.OldestMillis = max(p.OldestMillis, backend.OldestMillis)
+		if listed && backend.Mark != "leaving" && backend.Mark != "stopping" {
+			p.Open = append(p.Open, resp.Value.Name)
 		}
 	}
-	p.Safe = known && p.Running == 0 && p.Leases == 0 && len(p.Open) == 0 && len(p.Missing) == 0
-	return p, known
+	p.Safe = found && p.Running == 0 && p.Leases == 0 && len(p.Open) == 0 && len(p.Missing) == 0
+	return p, found
 }
 
 func (p *progress) print(c *command.Context) error {
@@ -94,18 +95,18 @@
 	if err != nil {
 		return err
 	}
-	for _, x := range []struct {
-		what  string
+	for _, group := range []struct {
+		title string
 		names []string
 	}{{"not marked leaving or stopping in the table of", p.Open}, {"no answer from", p.Missing}} {
-		if len(x.names) > 0 {
-			_, _ = fmt.Fprintf(c.Out, "%s: %s\n", x.what, strings.Join(x.names, ", "))
+		if len(group.names) > 0 {
+			_, _ = fmt.Fprintf(c.Out, "%s: %s\n", group.title, strings.Join(group.names, ", "))
 		}
 	}
-	word := "not safe to stop yet"
+	conclusion := "not safe to stop yet"
 	if p.Safe {
-		word = "safe to stop"
+		conclusion = "safe to stop"
 	}
-	_, err = fmt.Fprintln(c.Out, word)
+	_, err = fmt.Fprintln(c.Out, conclusion)
 	return err
 }
--- a/cmd/yarrowctl/cmd_explain.go
+++ b/cmd/yarrowctl/cmd_explain.go
@@ -14,10 +14,10 @@
 
 var cmdExplain = &command.Command{
 	Name:        "explain",
-	Description: "tells from the routers' logs what became of one request and why",
+	Description: "shows from the routers' logs how one request ended and why",
 	Flags: func(s *flaggy.Subcommand) {
-		s.AddPositionalValue(&explainArgs.request, "request", 1, true, "id of the request")
-		s.StringSlice(&explainArgs.logs, "l", "log", "a log file, repeated for each; standard input if none is named")
+		s.AddPositionalValue(&explainArgs.request, "request", 1, true, "request ID")
+		s.StringSlice(&explainArgs.logs, "l", "log", "log file, may be repeated; default standard input")
 	},
 	Run: runExplain,
 }
--- a/cmd/yarrowctl/cmd_measure.go
+++ b/cmd/yarrowctl/cmd_measure.go
@@ -19,16 +19,16 @@
 
 var cmdMeasure = &command.Command{
 	Name:        "measure",
-	Description: "runs a scenario on real routers with stand-ins and prints the measures",
+	Description: "runs a scenario on real routers with simulated backend servers and prints the results",
 	Flags: func(s *flaggy.Subcommand) {
-		s.String(&measureArgs.file, "f", "file", "file of the scenario")
-		s.String(&measureArgs.policy, "p", "policy", "only this policy")
-		s.UInt64(&measureArgs.seed, "", "seed", "another seed than the scenario's")
+		s.String(&measureArgs.file, "f", "file", "scenario file")
+		s.String(&measureArgs.policy, "p", "policy", "run only this policy")
+		s.UInt64(&measureArgs.seed, "", "seed", "overrides the seed of the scenario")
 	},
 	Run: runMeasure,
 }
 
-var errNoScenario = errors.New("no scenario; give --file FILE, such as examples/scenarios/ramdin.yaml")
+var errNoScenario = errors.New("no scenario; use --file FILE, such as examples/scenarios/ramdin.yaml")
 
 func runMeasure(c *command.Context) error {
 	if measureArgs.file == "" {
@@ -50,9 +50,10 @@
 	return runScenario(c, s)
 }
 
-// runScenario runs every policy and fails if the fleet broke a promise.
+// runScenario runs every policy of a scenario. It returns command.ErrFailed if a run with
+// yarrowmast routers violates a guarantee.
 func runScenario(c *command.Context, s *measure.Scenario) error {
-	bad := false
+	failed := false
 	for _, policy := range s.Policies {
 		_, _ = fmt.Fprintf(c.Err, "%s, policy %s, seed %d, %s\n", s.Name, policy, s.Seed, s.Duration)
 		r, err := measure.Run(s, policy, func(line string) { _, _ = fmt.Fprintln(c.Err, "  "+line) })
@@ -65,10 +66,10 @@
 		}
 		if broken := r.Broken(); len(broken) > 0 && strings.HasPrefix(policy, measure.PolicyFleet) {
 			_, _ = fmt.Fprintf(c.Err, "broken: %s\n", strings.Join(broken, ", "))
-			bad = true
+			failed = true
 		}
 	}
-	if bad {
+	if failed {
 		return command.ErrFailed
 	}
 	return nil
--- a/cmd/yarrowctl/cmd_parts.go
+++ b/cmd/yarrowctl/cmd_parts.go
@@ -17,12 +17,12 @@
 
 var cmdParts = &command.Command{
 	Name:        "parts",
-	Description: "tells from the routers' logs which accounts got least of what the best served one got",
+	Description: "shows from the routers' logs which accounts got the least service compared with the best served account",
 	Flags: func(s *flaggy.Subcommand) {
 		partsArgs.window, partsArgs.rows = 6*time.Second, 10
-		s.Duration(&partsArgs.window, "w", "window", "for how long an account must have waited, in whole seconds")
-		s.Int(&partsArgs.rows, "n", "rows", "how many of the least parts to show")
-		s.StringSlice(&partsArgs.logs, "l", "log", "a log file, repeated for each; standard input if none is named")
+		s.Duration(&partsArgs.window, "w", "window", "how long an account must have had requests refused, in whole seconds")
+		s.Int(&partsArgs.rows, "n", "rows", "number of rows to print")
+		s.StringSlice(&partsArgs.logs, "l", "log", "log file, may be repeated; default standard input")
 	},
 	Run: runParts,
 }
--- a/cmd/yarrowctl/cmd_status.go
+++ b/cmd/yarrowctl/cmd_status.go
@@ -15,7 +15,7 @@
 	"github.com/yarrowmast/yarrowmast/internal/tlsconf"
 )
 
-// fleetArgs are the flags of every command that asks routers.
+// fleetArgs are the flags of the commands that query routers.
 type fleetArgs struct {
 	admin    []string
 	platform string
@@ -24,16 +24,16 @@
 }
 
 func (a *fleetArgs) flags(s *flaggy.Subcommand) {
-	s.StringSlice(&a.admin, "a", "admin", "admin address of a router, IP number and port; may be given several times")
-	s.String(&a.platform, "p", "platform", "platform address, to find every router by its list")
+	s.StringSlice(&a.admin, "a", "admin", "admin address of a router, IP address and port; may be repeated")
+	s.String(&a.platform, "p", "platform", "platform address; queries all routers that the platform lists")
 	s.Bool(&a.json, "j", "json", "print JSON")
-	s.String(&a.tls.CA, "", "ca", "authority of the routers' admin certificates; asks over TLS")
-	s.String(&a.tls.Cert, "", "cert", "own certificate, where routers ask for one")
-	s.String(&a.tls.Key, "", "key", "its key")
+	s.String(&a.tls.CA, "", "ca", "CA file for the routers' admin certificates; enables TLS")
+	s.String(&a.tls.Cert, "", "cert", "client certificate file, if routers require one")
+	s.String(&a.tls.Key, "", "key", "key file of the client certificate")
 }
 
-// reach returns the routers to ask and the client that asks them.
-func (a *fleetArgs) reach() (*fleet.Client, []fleet.Router, error) {
+// connect returns a client and the routers to query with it.
+func (a *fleetArgs) connect() (*fleet.Client, []fleet.Router, error) {
 	routers, err := a.routers()
 	if err != nil || a.tls == (config.TLS{}) {
 		return fleet.New(nil), routers, err
@@ -42,9 +42,9 @@
 	return fleet.New(c), routers, err
 }
 
-var errNoRouters = errors.New("no routers; give --platform ADDRESS or --admin ADDRESS")
+var errNoRouters = errors.New("no routers; use --platform ADDRESS or --admin ADDRESS")
 
-// routers returns the admin addresses to ask, by router name.
+// routers returns the routers to query. Routers given with --admin are named by address.
 func (a *fleetArgs) routers() ([]fleet.Router, error) {
 	if a.platform != "" {
 		return fleet.ListRouters(a.platform)
@@ -53,8 +53,8 @@
 		return nil, errNoRouters
 	}
 	var all []fleet.Router
-	for _, x := range a.admin {
-		all = append(all, fleet.Router{Name: x, Admin: x})
+	for _, address := range a.admin {
+		all = append(all, fleet.Router{Name: address, Admin: address})
 	}
 	return all, nil
 }
@@ -63,39 +63,39 @@
 
 var cmdStatus = &command.Command{
 	Name:        "status",
-	Description: "shows every router: table in force, owned pools or backend servers, closed zones, waiting and running requests",
+	Description: "shows every router: active table, owned pools or backend servers, closed zones, waiting and running requests",
 	Flags:       statusArgs.flags,
 	Run:         runStatus,
 }
 
 func runStatus(c *command.Context) error {
-	asker, routers, err := statusArgs.reach()
+	client, routers, err := statusArgs.connect()
 	if err != nil {
 		return err
 	}
-	answers := fleet.Query[*statusRow](asker, routers, admin.PathStatus)
+	responses := fleet.Query[*statusRow](client, routers, admin.PathStatus)
 	if statusArgs.json {
-		return json.NewEncoder(c.Out).Encode(answers)
+		return json.NewEncoder(c.Out).Encode(responses)
 	}
 	t := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(t, statusHead)
-	for _, a := range answers {
-		if a.Error != "" {
-			_, _ = fmt.Fprintf(t, "%s\t?\t?\t?\t?\t?\t?\t?\t?\t?\t?\t?\tno answer: %s\n", a.Router.Name, a.Error)
+	_, _ = fmt.Fprintln(t, statusHeader)
+	for _, resp := range responses {
+		if resp.Error != "" {
+			_, _ = fmt.Fprintf(t, "%s\t?\t?\t?\t?\t?\t?\t?\t?\t?\t?\t?\tno answer: %s\n", resp.Router.Name, resp.Error)
 			continue
 		}
-		_, _ = fmt.Fprintln(t, a.Value.columns())
+		_, _ = fmt.Fprintln(t, resp.Value.columns())
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	return failIfMissing(answers)
+	return errIfUnreachable(responses)
 }
 
-// failIfMissing fails a command that could not ask every router.
-func failIfMissing[V any](answers []fleet.Response[V]) error {
-	for _, a := range answers {
-		if a.Error != "" {
+// errIfUnreachable returns command.ErrFailed if a router did not respond.
+func errIfUnreachable[V any](responses []fleet.Response[V]) error {
+	for _, resp := range responses {
+		if resp.Error != "" {
 			return command.ErrFailed
 		}
 	}
--- a/cmd/yarrowctl/cmd_table.go
+++ b/cmd/yarrowctl/cmd_table.go
@@ -23,93 +23,93 @@
 }
 
 const (
-	defaultTableWait = 30 * time.Second
-	tableAskEvery    = 250 * time.Millisecond
+	defaultTableWait  = 30 * time.Second
+	tablePollInterval = 250 * time.Millisecond
 )
 
 var cmdTable = &command.Command{
 	Name:        "table",
-	Description: "shows which version of the table is in force on every router, and refused edits",
+	Description: "shows the active table version of every router, and rejected versions",
 	Flags: func(s *flaggy.Subcommand) {
 		tableArgs.timeout = defaultTableWait
 		tableArgs.flags(s)
-		s.UInt64(&tableArgs.wait, "w", "wait", "wait until this version is in force on all routers that answer")
-		s.Duration(&tableArgs.timeout, "t", "timeout", "how long to wait")
+		s.UInt64(&tableArgs.wait, "w", "wait", "wait until this version is active on all routers that respond")
+		s.Duration(&tableArgs.timeout, "t", "timeout", "maximum time to wait")
 	},
 	Run: runTable,
 }
 
 func runTable(c *command.Context) error {
-	asker, routers, err := tableArgs.reach()
+	client, routers, err := tableArgs.connect()
 	if err != nil {
 		return err
 	}
-	ask := func() []fleet.Response[router.Status] {
-		return fleet.Query[router.Status](asker, routers, admin.PathStatus)
+	query := func() []fleet.Response[router.Status] {
+		return fleet.Query[router.Status](client, routers, admin.PathStatus)
 	}
-	answers := ask()
+	responses := query()
 	if tableArgs.wait > 0 {
-		answers, err = waitForTable(c, ask, answers)
+		responses, err = waitForTable(c, query, responses)
 	}
 	if tableArgs.json {
-		return errors.Join(err, json.NewEncoder(c.Out).Encode(answers))
+		return errors.Join(err, json.NewEncoder(c.Out).Encode(responses))
 	}
-	if printErr := printTable(c, answers); printErr != nil {
+	if printErr := printTable(c, responses); printErr != nil {
 		return printErr
 	}
 	if err != nil {
 		return err
 	}
-	return failIfMissing(answers)
+	return errIfUnreachable(responses)
 }
 
-// waitForTable asks again and again until the version is in force wherever
-// there is an answer.
-func waitForTable(c *command.Context, ask func() []fleet.Response[router.Status], answers []fleet.Response[router.Status]) ([]fleet.Response[router.Status], error) {
+// waitForTable polls the routers until the version is active on all routers that respond,
+// or until the timeout.
+func waitForTable(c *command.Context, query func() []fleet.Response[router.Status], responses []fleet.Response[router.Status]) ([]fleet.Response[router.Status], error) {
 	deadline := time.Now().Add(tableArgs.timeout)
-	told := time.Now()
+	lastReport := time.Now()
 	for {
-		behind := behindTable(answers)
+		behind := routersBehind(responses)
 		if len(behind) == 0 {
-			return answers, nil
+			return responses, nil
 		}
 		if time.Now().After(deadline) {
-			return answers, fmt.Errorf("version %d is not in force on %s after %s", tableArgs.wait, strings.Join(behind, ", "), tableArgs.timeout)
+			return responses, fmt.Errorf("version %d is not active on %s after %s", tableArgs.wait, strings.Join(behind, ", "), tableArgs.timeout)
 		}
-		if time.Since(told) > 2*time.Second {
-			told = time.Now()
+		if time.Since(lastReport) > 2*time.Second {
+			lastReport = time.Now()
 			_, _ = fmt.Fprintf(c.Err, "waiting for %s\n", strings.Join(behind, ", "))
 		}
-		time.Sleep(tableAskEvery)
-		answers = ask()
+		time.Sleep(tablePollInterval)
+		responses = query()
 	}
 }
 
-func behindTable(answers []fleet.Response[router.Status]) []string {
+func routersBehind(responses []fleet.Response[router.Status]) []string {
 	var behind []string
-	for _, a := range answers {
-		if a.Error == "" && a.Value.Table < tableArgs.wait {
-			behind = append(behind, a.Value.Name)
+	for _, resp := range responses {
+		if resp.Error == "" && resp.Value.Table < tableArgs.wait {
+			behind = append(behind, resp.Value.Name)
 		}
 	}
 	return behind
 }
 
-func printTable(c *command.Context, answers []fleet.Response[router.Status]) error {
+func printTable(c *command.Context, responses []fleet.Response[router.Status]) error {
 	t := tabwriter.NewWriter(c.Out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "router\tzone\tversion\tin force for\treader\trefused")
-	for _, a := range answers {
-		if a.Error != "" {
-			_, _ = fmt.Fprintf(t, "%s\t%s\tno answer\t\t\t%s\n", a.Router.Name, a.Router.Zone, a.Error)
+	for _, resp := range responses {
+		if resp.Error != "" {
+			_, _ = fmt.Fprintf(t, "%s\t%s\tno answer\t\t\t%s\n", resp.Router.Name, resp.Router.Zone, resp.Error)
 			continue
 		}
-		s := a.Value
+		status := resp.Value
 		refused := ""
-		if s.RefusedTable > s.Table {
-			refused = fmt.Sprintf("%d: %s", s.RefusedTable, strings.ReplaceAll(s.Refusal, "\n", "; "))
+		if status.RefusedTable > status.Table {
+			refused = fmt.Sprintf("%d: %s", status.RefusedTable, strings.ReplaceAll(status.Refusal, "\n", "; "))
 		}
-		age := (time.Duration(s.TableAgeMillis) * time.Millisecond).Round(time.Second)
-		_, _ = fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%v\t%s\n", s.Name, s.Zone, s.Table, age, s.Reader, refused)
+		age := (time.Duration(status.TableAgeMillis) * time.Millisecond).Round(time.Second)
+		_, _ = fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%v\t%s\n", status.Name, status.Zone, status.Table, age, status.Reader, refused)
 	}
 	return t.Flush()
 }
--- a/cmd/yarrowctl/logs.go
+++ b/cmd/yarrowctl/logs.go
@@ -9,8 +9,7 @@
 	"github.com/yarrowmast/yarrowmast/internal/logread"
 )
 
-// readLogs reads the logs of routers, from standard input where no file is
-// named.
+// readLogs reads the log files of routers, or standard input if there are none.
 func readLogs(c *command.Context, files []string) ([]logread.Record, error) {
 	var records []logread.Record
 	read := func(name string, r io.Reader) error {
--- a/cmd/yarrowctl/main.go
+++ b/cmd/yarrowctl/main.go
@@ -1,4 +1,4 @@
-// Command yarrowctl is the operators' command.
+// Command yarrowctl inspects a fleet of routers.
 package main
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/yarrowmast/yarrowmast/internal/command"
 )
 
-// commands is every subcommand, in the order of the help page.
+// commands lists the subcommands in the order of the help text.
 var commands = []*command.Command{
 	cmdCheck,
 	cmdDemo,
@@ -24,7 +24,7 @@
 
 func main() {
 	c := &command.Context{Out: os.Stdout, Err: os.Stderr, Terminal: isTerminal(os.Stdout)}
-	os.Exit(command.Run("yarrowctl", "looks at a yarrowmast fleet and tries it out", commands, os.Args[1:], c))
+	os.Exit(command.Run("yarrowctl", "inspects and tests a yarrowmast fleet", commands, os.Args[1:], c))
 }
 
 func isTerminal(f *os.File) bool {
--- a/cmd/yarrowctl/yarrowctl_test.go
+++ b/cmd/yarrowctl/yarrowctl_test.go
@@ -11,7 +11,7 @@
 	"github.com/yarrowmast/yarrowmast/internal/router"
 )
 
-func answer(name, mark string, running, leases int) fleet.Response[router.Status] {
+func response(name, mark string, running, leases int) fleet.Response[router.Status] {
 	return fleet.Response[router.Status]{
 		Router: fleet.Router{Name: name},
 		Value: router.Status{Name: name, Table: 7, Backends: map[string]router.BackendStatus{
@@ -20,58 +20,61 @@
 	}
 }
 
-func missing(name string) fleet.Response[router.Status] {
+func unreachable(name string) fleet.Response[router.Status] {
 	return fleet.Response[router.Status]{Router: fleet.Router{Name: name}, Error: "refused"}
 }
 
-func TestDrainIsSafeOnlyIfAllAgree(t *testing.T) {
+// TestDrainSafeOnlyIfAllRoutersAgree guards against reporting a backend server as safe to stop
+// while a router may still use it.
+func TestDrainSafeOnlyIfAllRoutersAgree(t *testing.T) {
 	tests := map[string]struct {
-		answers []fleet.Response[router.Status]
-		want    progress
+		responses []fleet.Response[router.Status]
+		want      progress
 	}{
-		"all agree": {[]fleet.Response[router.Status]{answer("a", "leaving", 0, 0), answer("b", "stopping", 0, 0)},
+		"all agree": {[]fleet.Response[router.Status]{response("a", "leaving", 0, 0), response("b", "stopping", 0, 0)},
 			progress{Backend: "form-1", Safe: true}},
-		"one runs": {[]fleet.Response[router.Status]{answer("a", "leaving", 2, 0), answer("b", "leaving", 0, 0)},
+		"one has running requests": {[]fleet.Response[router.Status]{response("a", "leaving", 2, 0), response("b", "leaving", 0, 0)},
 			progress{Backend: "form-1", Running: 2, OldestMillis: 2000}},
-		"one may start": {[]fleet.Response[router.Status]{answer("a", "leaving", 0, 1)},
+		"one has a lease": {[]fleet.Response[router.Status]{response("a", "leaving", 0, 1)},
 			progress{Backend: "form-1", Leases: 1}},
-		"one has no mark": {[]fleet.Response[router.Status]{answer("a", "serving", 0, 0)},
+		"mark missing on one": {[]fleet.Response[router.Status]{response("a", "serving", 0, 0)},
 			progress{Backend: "form-1", Open: []string{"a"}}},
-		"one is silent": {[]fleet.Response[router.Status]{answer("a", "leaving", 0, 0), missing("b")},
+		"one unreachable": {[]fleet.Response[router.Status]{response("a", "leaving", 0, 0), unreachable("b")},
 			progress{Backend: "form-1", Missing: []string{"b"}}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			got, known := drainProgress("form-1", tc.answers)
-			if diff := cmp.Diff(tc.want, got); diff != "" || !known {
-				t.Errorf("progress (-want +got), known %v:\n%s", known, diff)
+			got, found := drainProgress("form-1", tc.responses)
+			if diff := cmp.Diff(tc.want, got); diff != "" || !found {
+				t.Errorf("progress (-want +got), found %v:\n%s", found, diff)
 			}
 		})
 	}
-	if _, known := drainProgress("nope", tests["all agree"].answers); known {
-		t.Error("a backend server that no table lists is known")
+	if _, found := drainProgress("nope", tests["all agree"].responses); found {
+		t.Error("found a backend server that no table lists")
 	}
 }
 
-func TestBehindTable(t *testing.T) {
+func TestRoutersBehind(t *testing.T) {
 	tableArgs.wait = 8
 	defer func() { tableArgs.wait = 0 }()
-	if diff := cmp.Diff([]string{"a"}, behindTable([]fleet.Response[router.Status]{answer("a", "serving", 0, 0), missing("b")})); diff != "" {
-		t.Errorf("behind (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]string{"a"}, routersBehind([]fleet.Response[router.Status]{response("a", "serving", 0, 0), unreachable("b")})); diff != "" {
+		t.Errorf("routers behind (-want +got):\n%s", diff)
 	}
 }
 
+// TestExitCodes checks the exit codes that scripts depend on.
 func TestExitCodes(t *testing.T) {
 	tests := map[string]struct {
 		args []string
 		want int
 	}{
-		"good files":     {[]string{"check", "-t", "../../examples/ramdin/table.yaml"}, command.ExitOK},
-		"a bad file":     {[]string{"check", "-s", "../../examples/ramdin/table.yaml"}, command.ExitFailed},
-		"no such file":   {[]string{"check", "-t", "nope.yaml"}, command.ExitUsage},
-		"nothing to do":  {[]string{"check"}, command.ExitUsage},
-		"silent router":  {[]string{"status", "-a", "127.0.0.1:1"}, command.ExitFailed},
-		"unknown policy": {[]string{"measure", "-f", "../../examples/scenarios/skew.yaml", "-p", "nope"}, command.ExitUsage},
+		"valid file":         {[]string{"check", "-t", "../../examples/ramdin/table.yaml"}, command.ExitOK},
+		"invalid file":       {[]string{"check", "-s", "../../examples/ramdin/table.yaml"}, command.ExitFailed},
+		"missing file":       {[]string{"check", "-t", "nope.yaml"}, command.ExitUsage},
+		"no file":            {[]string{"check"}, command.ExitUsage},
+		"unreachable router": {[]string{"status", "-a", "127.0.0.1:1"}, command.ExitFailed},
+		"unknown policy":     {[]string{"measure", "-f", "../../examples/scenarios/skew.yaml", "-p", "nope"}, command.ExitUsage},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/yarrowmast/main.go
+++ b/cmd/yarrowmast/main.go
@@ -1,4 +1,4 @@
-// Command yarrowmast is the router process. Every one is identical.
+// Command yarrowmast runs a router.
 package main
 
 import (
@@ -22,9 +22,9 @@
 	p := flaggy.NewParser("yarrowmast")
 	p.Description = "routes requests of client accounts to backend servers"
 	p.Version = command.Version
-	p.String(&file, "s", "settings", "file of the settings")
+	p.String(&file, "s", "settings", "settings file")
 	if err := p.ParseArgs(args); err != nil || file == "" {
-		fmt.Fprintln(os.Stderr, "yarrowmast: give --settings FILE; see yarrowmast --help")
+		fmt.Fprintln(os.Stderr, "yarrowmast: --settings FILE is required; see yarrowmast --help")
 		return command.ExitUsage
 	}
 	d, err := daemon.New(file, os.Stdout, node.WithPlatforms(platform.Platforms()))
