--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -65,7 +65,7 @@
 		return front.Grant{}, dec.err
 	}
 	return front.Grant{
-		ID: dec.id, Backend: dec.start.Backend.Name, Address: dec.start.Backend.Address, StartTime: dec.start.Backend.Born, Reason: dec.start.Reason,
+		ID: dec.id, Backend: dec.start.Backend.Name, Address: dec.start.Backend.Address, StartTime: dec.start.Backend.StartTime, Reason: dec.start.Reason,
 		CopyPrefixFrom: dec.start.FetchFrom, MaxConnections: d.connectionShare(r.Model),
 		TokensAhead: dec.start.TokensAhead, ExpectedFirstEvent: dec.start.ExpectedDelay, Running: dec.start.Running,
 		Served: dec.tokens, Waited: r.Waited + dec.waited,
--- a/internal/dispatch/flood_test.go
+++ b/internal/dispatch/flood_test.go
@@ -83,10 +83,10 @@
 	started int
 }
 
-func newThrottlingRouter(key wire.Key, share float64) *throttlingRouter {
+func newThrottlingRouter(key wire.NameHash, share float64) *throttlingRouter {
 	d := &Dispatcher{opt: options{clock: clock.System(), log: slog.New(slog.DiscardHandler), random: rand.Float64}}
 	d.admission = newAdmission()
-	storeFractions(&d.admission.fractions, map[wire.Key]float64{key: share})
+	storeFractions(&d.admission.fractions, map[wire.NameHash]float64{key: share})
 	return &throttlingRouter{loadedRouter: newLoadedRouter(&state{d: d, core: admit.New(admit.Router{Address: "r"}), estimator: admit.NewCapacityEstimator(smallCores)})}
 }
 
@@ -137,7 +137,7 @@
 // startedFraction returns the fraction of the requests that start, including retries.
 func startedFraction(perSecond int, duration time.Duration, share float64) float64 {
 	started, sent := 0, 0
-	key := wire.KeyOf("moka")
+	key := wire.HashName("moka")
 	var routers []*throttlingRouter
 	for range 4 {
 		routers = append(routers, newThrottlingRouter(key, share))
--- a/internal/dispatch/rosters_test.go
+++ b/internal/dispatch/rosters_test.go
@@ -18,7 +18,7 @@
 func (n *recordingTransport) SetIncarnation(uint64)      {}
 func (n *recordingTransport) Send(_ string, msg any)     { n.sent = append(n.sent, msg) }
 func (n *recordingTransport) Inbox() <-chan peer.Inbound { return nil }
-func (n *recordingTransport) Losses() <-chan peer.Lost   { return nil }
+func (n *recordingTransport) Losses() <-chan peer.Loss   { return nil }
 func (n *recordingTransport) takeRosters() (msgs []*wire.Roster) {
 	for _, msg := range n.sent {
 		if m, ok := msg.(*wire.Roster); ok {
@@ -77,10 +77,10 @@
 	}
 	observe(2, 20)
 	change := send()
-	if change == nil || change.Base != full.Digest || len(change.Entries) != 1 || change.Entries[0].Inc != 2 {
+	if change == nil || change.Base != full.Digest || len(change.Entries) != 1 || change.Entries[0].Incarnation != 2 {
 		t.Errorf("message after a change %+v, want only the change", change)
 	}
-	lossEvent{peer.Lost{Peer: to}}.apply(s)
+	lossEvent{peer.Loss{Peer: to}}.apply(s)
 	if m := send(); m == nil || m.Base != 0 || len(m.Entries) != routers+1 {
 		t.Errorf("message after a loss %+v, want the full roster", m)
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -171,12 +171,12 @@
 
 func (f *Forwarder) handleData(in peer.Inbound, m *wire.ForwardData) {
 	f.mu.Lock()
-	o, i := f.outgoing[m.Stream], f.incoming[streamKey{in.From, in.Inc, m.Stream}]
+	o, i := f.outgoing[m.Stream], f.incoming[streamKey{in.From, in.Incarnation, m.Stream}]
 	f.mu.Unlock()
 	switch {
-	case m.Answer && o != nil && o.to == in.From:
+	case m.Response && o != nil && o.to == in.From:
 		o.receive(m)
-	case !m.Answer && i != nil:
+	case !m.Response && i != nil:
 		i.receive(m)
 	}
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -67,7 +67,7 @@
 			}
 		}()
 	}
-	link <- peer.Inbound{From: s.from, Inc: 1, Msg: msg}
+	link <- peer.Inbound{From: s.from, Incarnation: 1, Msg: msg}
 }
 
 // server is the Server of one router.
@@ -341,7 +341,7 @@
 			})
 			cl.network.drop = func(_ string, msg any) bool {
 				m, ok := msg.(*wire.ForwardData)
-				return ok && m.Answer && m.Number == 3
+				return ok && m.Response && m.Seq == 3
 			}
 			caller, results := cl.forward(postHead("/x", 0), waitTimeout)
 			resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
--- a/internal/forward/outgoing.go
+++ b/internal/forward/outgoing.go
@@ -143,15 +143,15 @@
 				o.stopReading()
 				return NotTaken
 			}
-			if m.Number != seq || !o.writeToCaller(m) {
+			if m.Seq != seq || !o.writeToCaller(m) {
 				return o.abort(true)
 			}
-			if m.End {
+			if m.Last {
 				_ = o.caller.Close()
 				return Ended
 			}
 			if seq%ackInterval == 0 {
-				o.sender.Send(o.to, &wire.ForwardData{Stream: o.id, Taken: seq})
+				o.sender.Send(o.to, &wire.ForwardData{Stream: o.id, Acked: seq})
 			}
 		case <-o.callerClosed:
 			return o.abort(true)
@@ -182,7 +182,7 @@
 	o.stopReading()
 	if notify {
 		o.seq++
-		o.sender.Send(o.to, &wire.ForwardData{Stream: o.id, Number: o.seq, End: true})
+		o.sender.Send(o.to, &wire.ForwardData{Stream: o.id, Seq: o.seq, Last: true})
 	}
 	if o.responded || o.callerHasClosed() {
 		_ = o.caller.Close()
@@ -226,7 +226,7 @@
 		}
 		if n > 0 {
 			o.seq++
-			o.sender.Send(o.to, &wire.ForwardData{Stream: o.id, Number: o.seq, Data: append([]byte(nil), buf[:n]...)})
+			o.sender.Send(o.to, &wire.ForwardData{Stream: o.id, Seq: o.seq, Data: append([]byte(nil), buf[:n]...)})
 			if len(buf) < chunkSize {
 				buf = make([]byte, chunkSize)
 			}
