--- a/internal/config/change.go
+++ b/internal/config/change.go
@@ -6,24 +6,23 @@
 	"strings"
 )
 
-// reloadable are the settings that a running router takes over; the others
-// need a new start.
+// reloadable lists the settings that a running router applies. The others need a restart.
 var reloadable = []string{"retries", "apply_within", "drain_for", "drain_notice", "log_level", "callers", "machine"}
 
-// Change is the difference between two settings, by the names of the fields.
+// Change lists the settings that differ, by their names in the file.
 type Change struct {
-	// Applied can be taken over by a running router.
+	// Applied lists the settings that a running router applies.
 	Applied []string
-	// NeedRestart need a new start.
+	// NeedRestart lists the settings that need a restart.
 	NeedRestart []string
 }
 
-// Empty reports whether nothing changed.
+// Empty reports whether no setting differs.
 func (c Change) Empty() bool { return len(c.Applied) == 0 && len(c.NeedRestart) == 0 }
 
-// Compare returns what changed from one to the other.
+// Compare returns the differences between two settings.
 func Compare(from, to Settings) Change {
-	var c Change
+	var change Change
 	a, b := reflect.ValueOf(from), reflect.ValueOf(to)
 	for i := range a.NumField() {
 		if reflect.DeepEqual(a.Field(i).Interface(), b.Field(i).Interface()) {
@@ -31,16 +30,15 @@
 		}
 		name, _, _ := strings.Cut(a.Type().Field(i).Tag.Get("yaml"), ",")
 		if slices.Contains(reloadable, name) {
-			c.Applied = append(c.Applied, name)
+			change.Applied = append(change.Applied, name)
 		} else {
-			c.NeedRestart = append(c.NeedRestart, name)
+			change.NeedRestart = append(change.NeedRestart, name)
 		}
 	}
-	return c
+	return change
 }
 
-// Merge returns the settings in force after a reload: to where a running
-// router can take it over, from elsewhere.
+// Merge returns the settings after a reload: the reloadable ones of to, the others of from.
 func Merge(from, to Settings) Settings {
 	merged := from
 	a, b := reflect.ValueOf(&merged).Elem(), reflect.ValueOf(to)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,4 @@
-// Package config reads a router's settings: a YAML file in which unknown
-// fields are errors and every default is stated here.
+// Package config reads the settings of a router from a YAML file. Unknown fields are errors.
 package config
 
 import (
@@ -11,141 +10,139 @@
 	"github.com/yarrowmast/yarrowmast/pkg/strictyaml"
 )
 
-// Listen is where a router listens; each is an IP number and port.
+// Listen holds the listen addresses of a router, each an IP address and port.
 type Listen struct {
-	// Callers is the callers' listener. Required.
+	// Callers is the address for requests of clients. Required.
 	Callers string `yaml:"callers"`
-	// Peers is the other routers' listener. Required.
+	// Peers is the address for other routers. Required.
 	Peers string `yaml:"peers"`
-	// Admin is the operators' listener. Required.
+	// Admin is the address of the admin API. Required.
 	Admin string `yaml:"admin"`
-	// Readiness is a listener for balancers that ask whether the router is
-	// ready. Default none: they ask the operators' listener.
+	// Readiness is a second address for the readiness check of load balancers. Default none:
+	// only Admin serves it.
 	Readiness string `yaml:"readiness"`
 }
 
-// TLS names the files of one listener's keys. All empty means no TLS.
+// TLS names the key files of one listener. All empty means no TLS.
 type TLS struct {
-	// Cert and Key are PEM files; both or neither.
+	// Cert and Key are PEM files. Set both or neither.
 	Cert string `yaml:"cert"`
 	Key  string `yaml:"key"`
-	// CA is a PEM file; if given, the other side must show a certificate
-	// that it signed. Required for peers.
+	// CA is a PEM file. If set, the other side must present a certificate signed by this
+	// CA. Required for peers.
 	CA string `yaml:"ca"`
 }
 
-// TLSAll is the TLS of each listener.
+// TLSAll holds the TLS settings of each listener.
 type TLSAll struct {
 	Callers TLS `yaml:"callers"`
 	Peers   TLS `yaml:"peers"`
 	Admin   TLS `yaml:"admin"`
 }
 
-// Callers bounds what callers may do.
+// Callers holds the limits for clients.
 type Callers struct {
-	// MaxBodyBytes is the largest body. Default 8388608.
+	// MaxBodyBytes limits the request body. Default 8388608.
 	MaxBodyBytes int64 `yaml:"max_body_bytes"`
-	// MaxHeaderBytes is the largest header. Default 65536.
+	// MaxHeaderBytes limits the request header. Default 65536.
 	MaxHeaderBytes int `yaml:"max_header_bytes"`
-	// DefaultDeadline is for requests that state none. Default 5m.
+	// DefaultDeadline applies to requests without a deadline. Default 5m.
 	DefaultDeadline time.Duration `yaml:"default_deadline"`
-	// IOTimeout bounds one read or write. Default 30s.
+	// IOTimeout limits one read or write on a client connection. Default 30s.
 	IOTimeout time.Duration `yaml:"slow_caller"`
-	// MaxOpen bounds the requests open at once. Default 20000.
+	// MaxOpen limits the open requests. Default 20000.
 	MaxOpen int64 `yaml:"max_open"`
-	// MaxEventDelay is within what time an event that a backend server sent is to
-	// reach its caller. Default 200ms.
+	// MaxEventDelay is the time within which a stream event of a backend server must reach
+	// the client. Default 200ms.
 	MaxEventDelay time.Duration `yaml:"pass_within"`
 }
 
-// Backends bounds what backend servers may do.
+// Backends holds the limits for backend servers.
 type Backends struct {
-	// IdleTimeout is how long a stream may stay silent. Default 60s.
+	// IdleTimeout limits the time between two reads of a response. Default 60s.
 	IdleTimeout time.Duration `yaml:"idle"`
-	// MaxResponseBytes is the largest whole answer. Default 33554432.
+	// MaxResponseBytes limits a response that is not streamed. Default 33554432.
 	MaxResponseBytes int64 `yaml:"max_answer_bytes"`
 }
 
-// Objectives are the service levels that burn is reported against. Each is
-// the share of requests that must meet it, in percent.
+// Objectives are the service-level objectives for the burn-rate report.
 type Objectives struct {
-	// FirstToken is the time to the first token. Default 1.3s.
+	// FirstToken is the target for the time to the first token. Default 1.3s.
 	FirstToken time.Duration `yaml:"first_token"`
-	// BetweenTokens is the mean time between tokens. Default 30ms.
+	// BetweenTokens is the target for the mean time between tokens. Default 30ms.
 	BetweenTokens time.Duration `yaml:"between_tokens"`
-	// LatencyPercent must meet both times. Default 95.
+	// LatencyPercent is the percentage of requests that must meet each target. Default 95.
 	LatencyPercent float64 `yaml:"latency_percent"`
-	// AvailabilityPercent must be answered. Default 99.9.
+	// AvailabilityPercent is the percentage of requests that must not fail. Default 99.9.
 	AvailabilityPercent float64 `yaml:"availability_percent"`
-	// RefusalPercent is the share that must not be refused. Default 99.
+	// RefusalPercent is the percentage of requests that must not be refused. Default 99.
 	RefusalPercent float64 `yaml:"refusal_percent"`
 }
 
-// Retries are the fleet's allowance of requests that are sent to a service a
-// second time, within any window.
+// Retries is the retry budget of each service across the fleet.
 type Retries struct {
-	// Ratio of the service's requests. Default 0.1.
+	// Ratio is the number of retries per request of the service. Default 0.1.
 	Ratio float64 `yaml:"ratio"`
-	// Extra besides. Default 20.
+	// Extra is the number of additional retries per window. Default 20.
 	Extra float64 `yaml:"extra"`
-	// Window is how long a window is. Default 10s.
+	// Window is the time over which requests and retries are counted. Default 10s.
 	Window time.Duration `yaml:"window"`
 }
 
-// Machine is what the router may use of its machine. Zero means not stated.
+// Machine holds the resource limits of the router. Zero means unset.
 type Machine struct {
-	// Processors is the share of processors, such as 0.4.
+	// Processors is the number of processors, such as 0.4.
 	Processors float64 `yaml:"processors"`
 	// MemoryMB is the memory in megabytes.
 	MemoryMB int64 `yaml:"memory_mb"`
-	// Descriptors is how many files and sockets may be open.
+	// Descriptors limits the open files and sockets.
 	Descriptors int64 `yaml:"descriptors"`
 }
 
-// Settings are one router's settings.
+// Settings are the settings of one router.
 type Settings struct {
 	// Name is unique in the fleet. Required.
 	Name string `yaml:"name"`
 	// Zone is the availability zone. Required.
 	Zone string `yaml:"zone"`
-	// Platform is the IP number and port of the platform. Required.
+	// Platform is the IP address and port of the platform. Required.
 	Platform string `yaml:"platform"`
-	// PlatformKind is how the platform is spoken to: values, or the name of
-	// one that the program was built with. Default values.
+	// PlatformKind selects the platform client: values, or the name of one that is compiled
+	// in. Default values.
 	PlatformKind string `yaml:"platform_kind"`
-	// Seeds are peers' addresses of a few routers, where the platform lists
-	// none; they may be down. Default none.
+	// Seeds are peer addresses of some routers, for platforms that list none. They may be
+	// down. Default none.
 	Seeds []string `yaml:"seeds"`
-	// ApplyWithin is within what time a change at the platform is to be in
-	// force everywhere. Default 2s.
+	// ApplyWithin is the time within which all routers must apply a change at the platform.
+	// Default 2s.
 	ApplyWithin time.Duration `yaml:"apply_within"`
-	// Retries are the fleet's allowance of repeats.
+	// Retries is the retry budget.
 	Retries Retries `yaml:"retries"`
-	// Machine is what the router may use. Default: what there is.
+	// Machine holds the resource limits. Default none.
 	Machine Machine `yaml:"machine"`
-	// Listen is where the router listens.
+	// Listen holds the listen addresses.
 	Listen Listen `yaml:"listen"`
-	// TLS is the keys of each listener. Default none.
+	// TLS holds the key files of each listener. Default none.
 	TLS TLSAll `yaml:"tls"`
-	// Callers bounds what callers may do.
+	// Callers holds the limits for clients.
 	Callers Callers `yaml:"callers"`
-	// Backends bounds what backend servers may do.
+	// Backends holds the limits for backend servers.
 	Backends Backends `yaml:"backends"`
-	// Objectives are the service levels.
+	// Objectives are the service-level objectives.
 	Objectives Objectives `yaml:"objectives"`
-	// DrainFor is how long streams may run on at a stop. Default 10m.
+	// DrainFor limits how long requests may continue after a stop signal. Default 10m.
 	DrainFor time.Duration `yaml:"drain_for"`
-	// DrainNotice is how long a router that was asked to stop goes on as
-	// before, while balancers notice that it is not ready. Default 0.
+	// DrainNotice is how long a stopping router still accepts requests while it reports
+	// itself as not ready, so that load balancers can remove it. Default 0.
 	DrainNotice time.Duration `yaml:"drain_notice"`
 	// LogLevel is debug, info, warn or error. Default info.
 	LogLevel string `yaml:"log_level"`
 }
 
-// PlatformValues is the kind of platform that publishes named values.
+// PlatformValues is the platform kind that publishes named values.
 const PlatformValues = "values"
 
-// Defaults returns settings with every default and nothing else.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		PlatformKind: PlatformValues,
@@ -174,8 +171,7 @@
 	return Parse(file, data)
 }
 
-// Parse reads and checks settings. Its error is a *strictyaml.Problems that
-// lists everything wrong.
+// Parse reads and checks settings. Its error is a *strictyaml.Problems that lists all problems.
 func Parse(file string, data []byte) (Settings, error) {
 	s := Defaults()
 	d := strictyaml.Decode(file, data, &s)
@@ -197,24 +193,24 @@
 		address(d, seed, "seeds", i)
 	}
 	if !(s.Machine.Processors >= 0) || s.Machine.MemoryMB < 0 || s.Machine.Descriptors < 0 {
-		d.Add("must not be below zero", "machine")
+		d.Add("must not be negative", "machine")
 	}
 	positive(d, int64(s.ApplyWithin), "apply_within")
 	positive(d, int64(s.Retries.Window), "retries", "window")
 	if !(s.Retries.Ratio >= 0) || !(s.Retries.Extra >= 0) {
-		d.Add("must not be below zero", "retries")
+		d.Add("must not be negative", "retries")
 	}
 	if s.Listen.Readiness != "" {
 		address(d, s.Listen.Readiness, "listen", "readiness")
 	}
 	if s.DrainNotice < 0 {
-		d.Add("must not be below zero", "drain_notice")
+		d.Add("must not be negative", "drain_notice")
 	}
 	s.TLS.Callers.check(d, "callers")
 	s.TLS.Peers.check(d, "peers")
 	s.TLS.Admin.check(d, "admin")
 	if s.TLS.Peers.Cert != "" && s.TLS.Peers.CA == "" {
-		d.Add("is missing; routers prove themselves to each other, so name the authority's file", "tls", "peers", "ca")
+		d.Add("is missing; routers authenticate each other, so name the CA file", "tls", "peers", "ca")
 	}
 	positive(d, s.Callers.MaxBodyBytes, "callers", "max_body_bytes")
 	positive(d, int64(s.Callers.MaxHeaderBytes), "callers", "max_header_bytes")
@@ -233,7 +229,7 @@
 	switch s.LogLevel {
 	case "debug", "info", "warn", "error":
 	default:
-		d.Add(fmt.Sprintf("%q is unknown; write debug, info, warn or error", s.LogLevel), "log_level")
+		d.Add(fmt.Sprintf("%q is unknown; must be debug, info, warn or error", s.LogLevel), "log_level")
 	}
 }
 
@@ -259,26 +255,26 @@
 	}
 }
 
-func required(d *strictyaml.Doc, v string, path ...any) {
-	if v == "" {
-		d.Add("is missing; write one", path...)
+func required(d *strictyaml.Doc, value string, path ...any) {
+	if value == "" {
+		d.Add("is missing", path...)
 	}
 }
 
-func address(d *strictyaml.Doc, v string, path ...any) {
-	if _, err := netip.ParseAddrPort(v); err != nil {
-		d.Add(fmt.Sprintf("%q is no IP number and port, such as 127.0.0.1:8080; host names are not taken", v), path...)
+func address(d *strictyaml.Doc, value string, path ...any) {
+	if _, err := netip.ParseAddrPort(value); err != nil {
+		d.Add(fmt.Sprintf("%q is not an IP address and port, such as 127.0.0.1:8080; host names are not accepted", value), path...)
 	}
 }
 
-func positive(d *strictyaml.Doc, v int64, path ...any) {
-	if v <= 0 {
-		d.Add("must be above zero", path...)
+func positive(d *strictyaml.Doc, value int64, path ...any) {
+	if value <= 0 {
+		d.Add("must be positive", path...)
 	}
 }
 
-func percent(d *strictyaml.Doc, v float64, field string) {
-	if !(v > 0 && v < 100) {
-		d.Add(fmt.Sprintf("is %v; write a number above 0 and below 100", v), "objectives", field)
+func percent(d *strictyaml.Doc, value float64, field string) {
+	if !(value > 0 && value < 100) {
+		d.Add(fmt.Sprintf("is %v; must be above 0 and below 100", value), "objectives", field)
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,15 +32,16 @@
 	return s
 }
 
+// TestCompare checks which changes a running router applies and which need a restart.
 func TestCompare(t *testing.T) {
 	tests := map[string]struct {
 		from, to string
 		want     config.Change
 	}{
-		"nothing":            {"zone: a", "zone: a", config.Change{}},
-		"what can be taken":  {"extra: 54", "extra: 60", config.Change{Applied: []string{"retries"}}},
-		"what needs a start": {"zone: a", "zone: b", config.Change{NeedRestart: []string{"zone"}}},
-		"both":               {"zone: a\n", "zone: b\nlog_level: debug\n", config.Change{Applied: []string{"log_level"}, NeedRestart: []string{"zone"}}},
+		"equal":         {"zone: a", "zone: a", config.Change{}},
+		"reloadable":    {"extra: 54", "extra: 60", config.Change{Applied: []string{"retries"}}},
+		"needs restart": {"zone: a", "zone: b", config.Change{NeedRestart: []string{"zone"}}},
+		"both":          {"zone: a\n", "zone: b\nlog_level: debug\n", config.Change{Applied: []string{"log_level"}, NeedRestart: []string{"zone"}}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -49,21 +50,22 @@
 				t.Errorf("change (-want +got):\n%s", diff)
 			}
 			merged := config.Merge(from, to)
-			if left := config.Compare(merged, to); len(left.Applied) > 0 || merged.Zone != from.Zone {
-				t.Errorf("merged settings differ by %+v", left)
+			if rest := config.Compare(merged, to); len(rest.Applied) > 0 || merged.Zone != from.Zone {
+				t.Errorf("merged settings differ from the new ones by %+v", rest)
 			}
 		})
 	}
 }
 
-func TestParseNamesWhatIsWrong(t *testing.T) {
+// TestParseNamesInvalidField checks that the error names the invalid field.
+func TestParseNamesInvalidField(t *testing.T) {
 	tests := map[string]struct{ from, to, want string }{
-		"seed is a name":      {"10.0.0.2:7", "router.example:7", "seeds[0]"},
-		"no retry window":     {"window: 10s", "window: 0s", "retries.window"},
-		"negative allowance":  {"extra: 54", "extra: -1", "retries"},
-		"readiness is a name": {"10.0.0.3:4", "here:4", "listen.readiness"},
-		"unknown field":       {"zone: a", "zone: a\nzones: {}", "zones"},
-		"no processors":       {"processors: 0.4", "processors: -1", "machine"},
+		"host name as seed":       {"10.0.0.2:7", "router.example:7", "seeds[0]"},
+		"no retry window":         {"window: 10s", "window: 0s", "retries.window"},
+		"negative retry budget":   {"extra: 54", "extra: -1", "retries"},
+		"host name for readiness": {"10.0.0.3:4", "here:4", "listen.readiness"},
+		"unknown field":           {"zone: a", "zone: a\nzones: {}", "zones"},
+		"negative processors":     {"processors: 0.4", "processors: -1", "machine"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -75,7 +77,8 @@
 	}
 }
 
-func TestWatchSeesAChangedFile(t *testing.T) {
+// TestWatchReportsChangedFile guards against missing a change of the file.
+func TestWatchReportsChangedFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "s.yaml")
 	if err := os.WriteFile(file, []byte(sample), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/config/watch.go
+++ b/internal/config/watch.go
@@ -6,38 +6,37 @@
 	"time"
 )
 
-// watchEvery is how often a settings file is looked at for changes.
-const watchEvery = time.Second
+const watchInterval = time.Second
 
-// Watch calls changed whenever the file's size or time differs from before,
-// until ctx is done.
+// Watch calls changed whenever the size or modification time of the file changes, until ctx is
+// done.
 func Watch(ctx context.Context, file string, changed func()) {
-	tick := time.NewTicker(watchEvery)
+	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
-	last := stampOf(file)
+	last := versionOf(file)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		if now := stampOf(file); now != last {
+		if now := versionOf(file); now != last {
 			last = now
 			changed()
 		}
 	}
 }
 
-// stamp tells versions of a file apart.
-type stamp struct {
+// fileVersion identifies a version of a file.
+type fileVersion struct {
 	size int64
 	time time.Time
 }
 
-func stampOf(file string) stamp {
+func versionOf(file string) fileVersion {
 	info, err := os.Stat(file)
 	if err != nil {
-		return stamp{}
+		return fileVersion{}
 	}
-	return stamp{info.Size(), info.ModTime()}
+	return fileVersion{info.Size(), info.ModTime()}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs one router from its settings file: it starts it, takes
-// changed settings over, and ends it as signals say.
+// Package daemon runs a router process: it starts the router, reloads the settings when the file
+// changes or on SIGHUP, and stops the router on SIGTERM or SIGINT.
 package daemon
 
 import (
@@ -39,25 +39,25 @@
 		file: file, settings: s, level: &slog.LevelVar{},
 		signals: make(chan os.Signal, 4), changed: make(chan struct{}, 1),
 	}
-	d.level.Set(levelOf(s.LogLevel))
+	d.level.Set(parseLevel(s.LogLevel))
 	d.sink = logsink.New(out, d.level)
 	d.log = d.sink.Logger()
-	useMachine(s.Machine)
+	applyMachineLimits(s.Machine)
 	d.node, err = node.Start(s, append(opts, node.WithLogger(d.log))...)
 	if err != nil {
-		d.sink.Close(logEnd)
+		d.sink.Close(logFlushTimeout)
 		return nil, err
 	}
 	return d, nil
 }
 
-// logEnd is how long the last lines of the log may take to be written.
-const logEnd = 200 * time.Millisecond
+// logFlushTimeout limits the time to write the last log lines.
+const logFlushTimeout = 200 * time.Millisecond
 
-// Run waits until a signal or a failure ends the router and returns the
-// program's exit code. A second signal cuts the drain.
+// Run waits until a signal or a failure ends the router, and returns the exit code of the
+// process. A second signal aborts the drain.
 func (d *Daemon) Run() int {
-	defer d.sink.Close(logEnd)
+	defer d.sink.Close(logFlushTimeout)
 	signal.Notify(d.signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -85,8 +85,8 @@
 	}
 }
 
-// reload takes over what changed in the settings file. A file with errors
-// changes nothing.
+// reload reads the settings file and applies the changes. It keeps the current settings if the
+// file has errors.
 func (d *Daemon) reload(cause string) {
 	s, err := config.Load(d.file)
 	if err != nil {
@@ -99,27 +99,27 @@
 		return
 	}
 	d.settings = config.Merge(d.settings, s)
-	useMachine(d.settings.Machine)
+	applyMachineLimits(d.settings.Machine)
 	d.node.Reload(d.settings)
-	// The line is written whether the level before or the new one allows it.
-	level := levelOf(d.settings.LogLevel)
+	// Log the line if either the old or the new level allows it.
+	level := parseLevel(d.settings.LogLevel)
 	d.level.Set(min(level, d.level.Level()))
 	d.log.Info("settings_reloaded", "cause", cause, "taken", change.Applied, "need_start", change.NeedRestart)
 	d.level.Set(level)
 }
 
-// stopMargin is how long before its time runs out a router cuts what still
-// runs, so that it ends by itself: this part of the time, at most a second.
+// A router aborts the remaining requests shortly before DrainFor ends, so that it exits by itself
+// before it is killed.
 const (
-	stopMarginPart = 10
-	stopMarginMost = time.Second
+	stopMarginDivisor = 10
+	maxStopMargin     = time.Second
 )
 
-// stop ends the router as planned.
+// stop drains the router until the timeout or a second signal.
 func (d *Daemon) stop() int {
-	within := d.settings.DrainFor
-	within -= min(within/stopMarginPart, stopMarginMost)
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	timeout := d.settings.DrainFor
+	timeout -= min(timeout/stopMarginDivisor, maxStopMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	go func() {
 		for s := range d.signals {
@@ -136,7 +136,7 @@
 	return command.ExitOK
 }
 
-func levelOf(name string) slog.Level {
+func parseLevel(name string) slog.Level {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(name)); err != nil {
 		return slog.LevelInfo
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -14,24 +14,24 @@
 	"github.com/yarrowmast/yarrowmast/internal/command"
 )
 
-const generous = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// logged is a log that can be read while it is written.
-type logged struct {
+// logBuffer is a log that can be read while it is written.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *logged) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-// waitFor waits until a line with all the parts is logged.
-func (l *logged) waitFor(t *testing.T, parts ...string) {
+// waitFor waits for a log line that contains all parts.
+func (l *logBuffer) waitFor(t *testing.T, parts ...string) {
 	t.Helper()
-	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		l.mu.Lock()
 		text := l.buf.String()
 		l.mu.Unlock()
@@ -48,7 +48,7 @@
 	t.Fatalf("no line with %v in\n%s", parts, l.buf.String())
 }
 
-func write(t *testing.T, file, more string) {
+func writeSettings(t *testing.T, file, extra string) {
 	t.Helper()
 	text := fmt.Sprintf(`
 name: a-0
@@ -57,18 +57,18 @@
 listen: {callers: "127.0.0.1:0", peers: "127.0.0.1:0", admin: "127.0.0.1:0"}
 drain_for: 2s
 %s
-`, more)
+`, extra)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestReload goes through the ways in which settings change, with a signal and
-// without, and ends by a signal.
+// TestReload checks reloads on a file change and on a signal, a file with errors, and the stop on
+// a signal.
 func TestReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.yaml")
-	write(t, file, "log_level: info")
-	log := &logged{}
+	writeSettings(t, file, "log_level: info")
+	log := &logBuffer{}
 	d, err := New(file, log)
 	if err != nil {
 		t.Fatal(err)
@@ -78,32 +78,33 @@
 	log.waitFor(t, "msg=router_started")
 	d.signals <- syscall.SIGHUP
 	log.waitFor(t, "msg=settings_unchanged", "cause=signal")
-	write(t, file, "log_level: warn\nretries: {extra: 7}")
+	writeSettings(t, file, "log_level: warn\nretries: {extra: 7}")
 	log.waitFor(t, "msg=settings_reloaded", "cause=file", "taken=\"[retries log_level]\"", "need_start=[]")
-	write(t, file, "log_level: info\nobjectives: {latency_percent: 90}")
+	writeSettings(t, file, "log_level: info\nobjectives: {latency_percent: 90}")
 	d.signals <- syscall.SIGHUP
 	log.waitFor(t, "msg=settings_reloaded", "need_start=[objectives]")
-	write(t, file, "log_level: loud")
+	writeSettings(t, file, "log_level: loud")
 	d.signals <- syscall.SIGHUP
 	log.waitFor(t, "msg=settings_refused", "cause=signal", "loud")
 	d.signals <- syscall.SIGTERM
 	select {
 	case got := <-code:
 		if got != command.ExitOK {
-			t.Errorf("exit code %d", got)
+			t.Errorf("exit code %d, want 0", got)
 		}
-	case <-time.After(generous):
-		t.Fatal("the router does not end")
+	case <-time.After(testTimeout):
+		t.Fatal("the router did not stop")
 	}
 }
 
-func TestBadSettingsDoNotStart(t *testing.T) {
+// TestInvalidSettingsDoNotStart guards against a router that starts with invalid settings.
+func TestInvalidSettingsDoNotStart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.yaml")
-	write(t, file, "log_level: loud")
-	if _, err := New(file, &logged{}); err == nil || !strings.Contains(err.Error(), "log_level") {
-		t.Errorf("error %v", err)
+	writeSettings(t, file, "log_level: loud")
+	if _, err := New(file, &logBuffer{}); err == nil || !strings.Contains(err.Error(), "log_level") {
+		t.Errorf("error %v does not name log_level", err)
 	}
-	if _, err := New(file+".none", &logged{}); err == nil {
-		t.Error("a missing file is no error")
+	if _, err := New(file+".none", &logBuffer{}); err == nil {
+		t.Error("no error for a missing file")
 	}
 }
--- a/internal/daemon/machine_test.go
+++ b/internal/daemon/machine_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestGrowthFor looks for how much a heap may grow on small and large machines.
-func TestGrowthFor(t *testing.T) {
+// TestGCPercentFor checks the GC percentage and its bounds.
+func TestGCPercentFor(t *testing.T) {
 	tests := map[string]struct {
 		memoryMB int64
 		want     int
@@ -15,7 +15,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := growthFor(tc.memoryMB); got != tc.want {
+			if got := gcPercentFor(tc.memoryMB); got != tc.want {
 				t.Errorf("%d MB: %d percent, want %d", tc.memoryMB, got, tc.want)
 			}
 		})
--- a/internal/explain/causes.go
+++ b/internal/explain/causes.go
@@ -1,12 +1,12 @@
 package explain
 
-// cause is what a code of a request's end means.
+// cause explains a code of request_end.
 type cause struct {
-	// Means says what happened, Look what to look at next.
-	Means, Look string
+	// NextStep names what to examine next.
+	Meaning, NextStep string
 }
 
-// causes are by the code of the line request_end, "" for a success.
+// causes maps the codes of request_end to their explanation; "" stands for success.
 var causes = map[string]cause{
 	"": {"it was answered; a status of 500 or above is the backend server's own", "the attempts, if it was slow"},
 	"busy": {"no backend server could begin its answer within a quarter of its target; it did not run",
--- a/internal/explain/counts.go
+++ b/internal/explain/counts.go
@@ -15,10 +15,10 @@
 	"github.com/yarrowmast/yarrowmast/internal/logread"
 )
 
-// Groups by which requests can be counted, by name.
-var groups = map[string]func(logread.Record, time.Duration) string{
-	"time": func(r logread.Record, every time.Duration) string {
-		return r.Time.Truncate(every).Format("15:04:05.000")
+// groupKeys returns, for each value of --by, the group of a request.
+var groupKeys = map[string]func(logread.Record, time.Duration) string{
+	"time": func(r logread.Record, rowLength time.Duration) string {
+		return r.Time.Truncate(rowLength).Format("15:04:05.000")
 	},
 	"router":  func(r logread.Record, _ time.Duration) string { return r.Router },
 	"account": func(r logread.Record, _ time.Duration) string { return r.Fields["account"] },
@@ -26,41 +26,41 @@
 	"code":    func(r logread.Record, _ time.Duration) string { return cmp.Or(r.Fields["code"], "answered") },
 }
 
-// GroupNames lists by what requests can be counted.
-func GroupNames() []string { return slices.Sorted(maps.Keys(groups)) }
+// GroupNames returns the valid values of --by, sorted.
+func GroupNames() []string { return slices.Sorted(maps.Keys(groupKeys)) }
 
-// count is how the requests of one group ended.
+// count holds the outcomes of the requests of one group.
 type count struct {
-	asked, answered int
-	codes           map[string]int
-	// total are the times to the end, in milliseconds.
-	total *hdrhistogram.Histogram
+	ended, succeeded int
+	codes            map[string]int
+	// latencies holds the times from arrival to end, in milliseconds.
+	latencies *hdrhistogram.Histogram
 }
 
-// The times that a histogram holds, in milliseconds, and its digits.
+// Range and precision of the latency histogram.
 const (
-	longestMillis = 10 * 60 * 1000
-	digits        = 2
+	maxMillis = 10 * 60 * 1000
+	digits    = 2
 )
 
-// mostCodes is how many codes are shown in a row.
-const mostCodes = 4
+// maxCodes limits the codes per row.
+const maxCodes = 4
 
-// Counts writes how the requests that ended between two times ended, by a
-// group; zero times are no bounds.
-func Counts(w io.Writer, records []logread.Record, by string, every time.Duration, from, to time.Time) error {
-	keyOf, ok := groups[by]
+// Counts writes a table of the outcomes of requests that ended between two times, grouped by
+// one of GroupNames. A zero time is no bound. rowLength applies to groups by time only.
+func Counts(w io.Writer, records []logread.Record, by string, rowLength time.Duration, from, to time.Time) error {
+	keyOf, ok := groupKeys[by]
 	if !ok {
-		return fmt.Errorf("cannot count by %q; by one of %s", by, strings.Join(GroupNames(), ", "))
+		return fmt.Errorf("cannot group by %q; must be one of %s", by, strings.Join(GroupNames(), ", "))
 	}
 	counts := map[string]*count{}
 	for _, r := range records {
 		if r.Event != eventEnd || r.Time.Before(from) || !to.IsZero() && r.Time.After(to) {
 			continue
 		}
-		key := keyOf(r, every)
+		key := keyOf(r, rowLength)
 		if counts[key] == nil {
-			counts[key] = &count{codes: map[string]int{}, total: hdrhistogram.New(1, longestMillis, digits)}
+			counts[key] = &count{codes: map[string]int{}, latencies: hdrhistogram.New(1, maxMillis, digits)}
 		}
 		counts[key].add(r)
 	}
@@ -68,13 +68,13 @@
 }
 
 func (c *count) add(r logread.Record) {
-	c.asked++
-	_ = c.total.RecordValue(min(max(r.Int("total_ms"), 1), longestMillis))
+	c.ended++
+	_ = c.latencies.RecordValue(min(max(r.Int("total_ms"), 1), maxMillis))
 	if code := r.Fields["code"]; code != "" {
 		c.codes[code]++
 		return
 	}
-	c.answered++
+	c.succeeded++
 }
 
 func printCounts(w io.Writer, by string, counts map[string]*count) error {
@@ -82,19 +82,19 @@
 	_, _ = fmt.Fprintf(t, "%s\tended\tanswered\tp50 ms\tp95 ms\tothers\n", by)
 	for _, key := range slices.Sorted(maps.Keys(counts)) {
 		c := counts[key]
-		_, _ = fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\n", cmp.Or(key, "-"), c.asked, c.answered,
-			c.total.ValueAtPercentile(50), c.total.ValueAtPercentile(95), c.others())
+		_, _ = fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\n", cmp.Or(key, "-"), c.ended, c.succeeded,
+			c.latencies.ValueAtPercentile(50), c.latencies.ValueAtPercentile(95), c.topCodes())
 	}
 	return t.Flush()
 }
 
-// others lists the most frequent codes.
-func (c *count) others() string {
+// topCodes lists the most frequent codes with their counts.
+func (c *count) topCodes() string {
 	names := slices.SortedFunc(maps.Keys(c.codes), func(a, b string) int {
 		return cmp.Or(cmp.Compare(c.codes[b], c.codes[a]), cmp.Compare(a, b))
 	})
 	var parts []string
-	for _, name := range names[:min(mostCodes, len(names))] {
+	for _, name := range names[:min(maxCodes, len(names))] {
 		parts = append(parts, fmt.Sprintf("%s %d", name, c.codes[name]))
 	}
 	return strings.Join(parts, ", ")
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain tells from the logs of routers what became of one request
-// and why: what its router believed when it came, where it was sent, and what
-// others saw of the same backend servers at that time.
+// Package explain reconstructs from the logs of routers how a request ended and why: the state
+// of its router at arrival, the attempts, and the outcome of other attempts at the same backend
+// servers at that time.
 package explain
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/yarrowmast/yarrowmast/internal/logread"
 )
 
-// ErrNotFound says that no line names the request.
-var ErrNotFound = errors.New("no line names the request; are these the logs of the router that it came to, from before its end?")
+// ErrNotFound is returned if no log line contains the request ID.
+var ErrNotFound = errors.New("request not found; pass the logs of the router that received it, written until the request ended")
 
 // Events of a request.
 const (
@@ -25,53 +25,53 @@
 	eventAttempt = "attempt_end"
 )
 
-// beliefs are the events that tell what a router believes; of each, the last
-// before the request came is shown.
-var beliefs = []string{
+// stateEvents are the events that describe the state of a router. Explain shows the last one of
+// each kind before the request arrived.
+var stateEvents = []string{
 	"router_started", "router_leaving", "router_was_paused", eventTable, "members", "platform_read_failed",
 	"platform_read_again", "router_pace", "router_work", "router_overloaded", "router_recovered", "shares", "settings_reloaded",
 }
 
-// around is how long before and after an attempt others' attempts at the same
-// backend server are counted.
-const around = 2 * time.Second
+// proximity is the maximum time between the ends of two attempts at the same backend server
+// that are compared.
+const proximity = 2 * time.Second
 
-// story is what the logs tell of one request.
-type story struct {
+// trace holds the log records of one request.
+type trace struct {
 	id       string
 	records  []logread.Record
 	end      *logread.Record
 	attempts []logread.Record
-	// arrived is when the request came, on its router's clock.
+	// arrived is the arrival time on the clock of the request's router.
 	arrived time.Time
 	router  string
-	// ahead is how far other routers' clocks are ahead of its router's.
-	ahead map[string]time.Duration
+	// clockOffset is how far the clocks of other routers are ahead of that clock.
+	clockOffset map[string]time.Duration
 }
 
-// Explain writes the story of a request.
+// Explain writes a report on the request with the ID.
 func Explain(w io.Writer, id string, records []logread.Record) error {
-	s, err := gather(id, records)
+	s, err := collect(id, records)
 	if err != nil {
 		return err
 	}
 	var b strings.Builder
-	s.tellEnd(&b)
-	s.tellBeliefs(&b)
-	s.tellAttempts(&b)
-	s.tellSuspicion(&b)
-	s.tellLines(&b)
+	s.writeEnd(&b)
+	s.writeRouterState(&b)
+	s.writeAttempts(&b)
+	s.writeCrashes(&b)
+	s.writeLines(&b)
 	_, err = io.WriteString(w, b.String())
 	return err
 }
 
-func gather(id string, records []logread.Record) (*story, error) {
-	s := &story{id: id, records: records}
+func collect(id string, records []logread.Record) (*trace, error) {
+	s := &trace{id: id, records: records}
 	for i, r := range records {
 		if r.Fields["request"] != id {
 			continue
 		}
-		s.router, s.arrived = r.Router, beginOf(&r)
+		s.router, s.arrived = r.Router, startTime(&r)
 		switch r.Event {
 		case eventEnd:
 			s.end = &records[i]
@@ -83,13 +83,13 @@
 		return nil, ErrNotFound
 	}
 	if s.end != nil {
-		s.arrived = beginOf(s.end)
+		s.arrived = startTime(s.end)
 	}
-	s.ahead = align(records, s.router)
+	s.clockOffset = clockOffsets(records, s.router)
 	return s, nil
 }
 
-func (s *story) tellEnd(b *strings.Builder) {
+func (s *trace) writeEnd(b *strings.Builder) {
 	if s.end == nil {
 		_, _ = fmt.Fprintf(b, "request %s came to %s at %s; its end is not in these logs\n", s.id, s.router, s.arrived.Format(time.RFC3339Nano))
 		return
@@ -101,15 +101,14 @@
 	if !ok {
 		c = unknownCause
 	}
-	_, _ = fmt.Fprintf(b, "  means: %s\n  look at: %s\n", c.Means, c.Look)
+	_, _ = fmt.Fprintf(b, "  means: %s\n  look at: %s\n", c.Meaning, c.NextStep)
 }
 
-// tellBeliefs shows what the router believed when the request came, the oldest
-// first.
-func (s *story) tellBeliefs(b *strings.Builder) {
+// writeRouterState writes the state of the router when the request arrived, oldest event first.
+func (s *trace) writeRouterState(b *strings.Builder) {
 	last := map[string]logread.Record{}
 	for _, r := range s.records {
-		if r.Router == s.router && !r.Time.After(s.arrived) && slices.Contains(beliefs, r.Event) {
+		if r.Router == s.router && !r.Time.After(s.arrived) && slices.Contains(stateEvents, r.Event) {
 			last[r.Event] = r
 		}
 	}
@@ -120,26 +119,26 @@
 	}
 }
 
-func (s *story) tellAttempts(b *strings.Builder) {
+func (s *trace) writeAttempts(b *strings.Builder) {
 	for _, a := range s.attempts {
 		f := a.Fields
 		_, _ = fmt.Fprintf(b, "attempt %s at %s (%s): %s requests and %s tokens ahead, first event expected in %s ms and seen in %s, ended after %s ms, code %q\n",
 			f["attempt"], f["backend"], f["why"], f["running"], f["ahead"], f["expected_ms"], f["first_ms"], f["total_ms"], f["code"])
-		_, _ = fmt.Fprintf(b, "  there within %s of its end: %s\n", around, s.others(a))
+		_, _ = fmt.Fprintf(b, "  there within %s of its end: %s\n", proximity, s.otherAttempts(a))
 	}
 }
 
-// others counts how the other attempts at the same backend server ended about
-// the same time.
-func (s *story) others(a logread.Record) string {
+// otherAttempts counts the outcomes of other attempts at the same backend server that ended at
+// about the same time.
+func (s *trace) otherAttempts(a logread.Record) string {
 	codes := map[string]int{}
 	routers := map[string]bool{}
 	for _, r := range s.records {
 		if r.Event != eventAttempt || r.Fields["backend"] != a.Fields["backend"] || r.Fields["request"] == s.id {
 			continue
 		}
-		apart := r.Time.Add(-s.ahead[r.Router]).Sub(a.Time).Abs()
-		if apart > around {
+		distance := r.Time.Add(-s.clockOffset[r.Router]).Sub(a.Time).Abs()
+		if distance > proximity {
 			continue
 		}
 		codes[r.Fields["code"]]++
@@ -158,8 +157,8 @@
 	return fmt.Sprintf("%s, by %d routers", strings.Join(parts, ", "), len(routers))
 }
 
-// tellLines shows the request's own lines.
-func (s *story) tellLines(b *strings.Builder) {
+// writeLines writes the log lines of the request.
+func (s *trace) writeLines(b *strings.Builder) {
 	b.WriteString("its lines:\n")
 	for _, r := range s.records {
 		if r.Fields["request"] == s.id {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -12,8 +12,8 @@
 	"github.com/yarrowmast/yarrowmast/internal/logread"
 )
 
-// day is the log of two routers, of which b-0's clock is 5 s ahead.
-const day = `
+// sampleLog is the log of two routers. The clock of b-0 is 5 s ahead.
+const sampleLog = `
 time=2026-01-01T00:00:00.000Z level=INFO msg=router_started router=a-0 zone=a
 time=2026-01-01T00:00:00.100Z level=INFO msg=table_in_force router=a-0 revision=7 as_of=9 from=""
 time=2026-01-01T00:00:05.102Z level=INFO msg=table_in_force router=b-0 revision=7 as_of=9 from=a-0
@@ -27,48 +27,49 @@
 time=2026-01-01T00:00:04.000Z level=INFO msg=request_end router=a-0 request=r4 account=moka model=form status=200 code="" verdict=ran tokens=7 attempts=1 waited_ms=1 total_ms=40
 `
 
-func records(t *testing.T) []logread.Record {
+func sampleRecords(t *testing.T) []logread.Record {
 	t.Helper()
 	var list []logread.Record
-	if _, err := logread.Each(strings.NewReader(day), func(r logread.Record) { list = append(list, r) }); err != nil {
+	if _, err := logread.Each(strings.NewReader(sampleLog), func(r logread.Record) { list = append(list, r) }); err != nil {
 		t.Fatal(err)
 	}
 	return list
 }
 
-// TestExplain shows a request that broke: what is told of the others at its
-// backend server follows the routers' clocks.
+// TestExplain guards against counting other attempts at a backend server without correcting the
+// clock offset of their routers.
 func TestExplain(t *testing.T) {
 	for name, id := range map[string]string{"broken": "r1", "answered": "r4", "end not logged": "r2"} {
 		t.Run(name, func(t *testing.T) {
 			var b strings.Builder
-			if err := explain.Explain(&b, id, records(t)); err != nil {
+			if err := explain.Explain(&b, id, sampleRecords(t)); err != nil {
 				t.Fatal(err)
 			}
 			goldie.New(t).Assert(t, strings.ReplaceAll(name, " ", "-"), []byte(b.String()))
 		})
 	}
-	if err := explain.Explain(&strings.Builder{}, "nope", records(t)); !errors.Is(err, explain.ErrNotFound) {
+	if err := explain.Explain(&strings.Builder{}, "nope", sampleRecords(t)); !errors.Is(err, explain.ErrNotFound) {
 		t.Errorf("error %v", err)
 	}
 }
 
+// TestCounts checks the table of each group and the time bounds.
 func TestCounts(t *testing.T) {
 	for _, by := range explain.GroupNames() {
 		t.Run(by, func(t *testing.T) {
 			var b strings.Builder
-			if err := explain.Counts(&b, records(t), by, time.Second, time.Time{}, time.Time{}); err != nil {
+			if err := explain.Counts(&b, sampleRecords(t), by, time.Second, time.Time{}, time.Time{}); err != nil {
 				t.Fatal(err)
 			}
 			goldie.New(t).Assert(t, "counts-"+by, []byte(b.String()))
 		})
 	}
 	var b strings.Builder
-	if err := explain.Counts(&b, records(t), "weather", time.Second, time.Time{}, time.Time{}); err == nil {
-		t.Error("counted by something that is not there")
+	if err := explain.Counts(&b, sampleRecords(t), "weather", time.Second, time.Time{}, time.Time{}); err == nil {
+		t.Error("no error for an unknown group")
 	}
 	from := time.Date(2026, 1, 1, 0, 0, 3, 0, time.UTC)
-	if err := explain.Counts(&b, records(t), "code", time.Second, from, from.Add(time.Minute)); err != nil || strings.Contains(b.String(), "broke") {
-		t.Errorf("counts after %s, error %v:\n%s", from, err, b.String())
+	if err := explain.Counts(&b, sampleRecords(t), "code", time.Second, from, from.Add(time.Minute)); err != nil || strings.Contains(b.String(), "broke") {
+		t.Errorf("counts from %s, error %v:\n%s", from, err, b.String())
 	}
 }
--- a/internal/explain/parts_test.go
+++ b/internal/explain/shares_test.go
@@ -11,19 +11,19 @@
 	"github.com/yarrowmast/yarrowmast/internal/logread"
 )
 
-// linesOf writes the log of a router at which so many requests of an account come in a
-// second, of which some are begun and the rest refused.
-func linesOf(account string, second, come, begun int) []logread.Record {
+// requestLog returns the log records of the requests of an account that arrive in one second.
+// The first ones are started, the others refused.
+func requestLog(account string, second, arrivals, started int) []logread.Record {
 	var records []logread.Record
 	add := func(line string) {
 		if r, ok := logread.Parse(line); ok {
 			records = append(records, r)
 		}
 	}
-	for i := range come {
+	for i := range arrivals {
 		head := fmt.Sprintf("time=2026-01-01T00:00:%02d.500Z level=INFO router=a", second)
 		id, code := fmt.Sprintf("%s-%d-%d", account, second, i), "overloaded"
-		if i < begun {
+		if i < started {
 			code = `""`
 			add(fmt.Sprintf("%s msg=attempt_end request=%s sent=true total_ms=100", head, id))
 		}
@@ -32,11 +32,12 @@
 	return records
 }
 
-func TestParts(t *testing.T) {
+// TestLeastServed checks which accounts count as backlogged, and their shares.
+func TestLeastServed(t *testing.T) {
 	type load struct {
-		account     string
-		come, begun int
-		seconds     []int
+		account           string
+		arrivals, started int
+		seconds           []int
 	}
 	all := []int{1, 2, 3, 4, 5, 6}
 	tests := map[string]struct {
@@ -44,20 +45,20 @@
 		// want is the first row, "" for none.
 		want string
 	}{
-		"half of the best":          {[]load{{"moka", 20, 4, all}, {"best", 8, 8, all}}, "00:00:01  moka     0.50  12000  2400   best  4800"},
-		"it asked for no more":      {[]load{{"moka", 5, 4, all}, {"best", 8, 8, all}}, "00:00:01  moka     0.80  3000   2400   best  4800"},
+		"half of the best served":   {[]load{{"moka", 20, 4, all}, {"best", 8, 8, all}}, "00:00:01  moka     0.50  12000  2400   best  4800"},
+		"limited by its demand":     {[]load{{"moka", 5, 4, all}, {"best", 8, 8, all}}, "00:00:01  moka     0.80  3000   2400   best  4800"},
 		"not refused in one second": {[]load{{"moka", 20, 4, all[1:]}, {"moka", 4, 4, all[:1]}, {"best", 8, 8, all}}, ""},
-		"nobody waits":              {[]load{{"moka", 4, 4, all}, {"best", 8, 8, all}}, ""},
-		"nothing begun":             {[]load{{"moka", 20, 0, all}, {"best", 8, 8, all}}, "00:00:01  moka     0.00  12000  0      best  4800"},
-		"it asked in one second":    {[]load{{"moka", 5, 4, all[1:]}, {"moka", 200, 4, all[:1]}, {"best", 8, 8, all}}, "00:00:01  moka     0.73  22500  2400   best  4800"},
+		"no refusals":               {[]load{{"moka", 4, 4, all}, {"best", 8, 8, all}}, ""},
+		"nothing started":           {[]load{{"moka", 20, 0, all}, {"best", 8, 8, all}}, "00:00:01  moka     0.00  12000  0      best  4800"},
+		"burst in one second":       {[]load{{"moka", 5, 4, all[1:]}, {"moka", 200, 4, all[:1]}, {"best", 8, 8, all}}, "00:00:01  moka     0.73  22500  2400   best  4800"},
 		"a second without requests": {[]load{{"moka", 20, 4, []int{1, 2, 3, 5, 6, 7}}}, ""},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			var records []logread.Record
 			for _, l := range tc.loads {
-				for _, s := range l.seconds {
-					records = append(records, linesOf(l.account, s, l.come, l.begun)...)
+				for _, second := range l.seconds {
+					records = append(records, requestLog(l.account, second, l.arrivals, l.started)...)
 				}
 			}
 			var out bytes.Buffer
@@ -72,10 +73,10 @@
 	}
 }
 
-func TestPartsWantsWholeSeconds(t *testing.T) {
+func TestLeastServedRejectsPartialSeconds(t *testing.T) {
 	for _, window := range []time.Duration{0, -time.Second, 1500 * time.Millisecond} {
 		if err := explain.LeastServed(&bytes.Buffer{}, nil, window, 5); err == nil {
-			t.Errorf("a window of %s was taken", window)
+			t.Errorf("no error for a window of %s", window)
 		}
 	}
 }
