--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,11 +1,10 @@
-// Package clock tells a time that counts while the machine is suspended.
+// Package clock provides a clock and timers that include the time for which the machine is
+// suspended.
 //
-// The steady clock of the kernel, by which package time compares its times and fires its
-// timers, stands still then. A router that goes by it wakes with deadlines that lie too late,
-// and with beliefs that look as fresh as before. The times of this package are those of the
-// steady clock, moved by what the machine has been suspended for: they may be compared with
-// each other, and not with those of package time, nor be given to what waits by that, such as
-// the deadlines of a connection.
+// The monotonic clock that package time uses stops during a suspension. Deadlines would then pass
+// too late, and stale data would look fresh. The times of this package are monotonic times plus
+// the total suspended time. Compare them only with each other. Do not compare them with times of
+// package time, and do not use them as deadlines of connections.
 package clock
 
 import (
@@ -20,33 +19,34 @@
 )
 
 const (
-	// lookEvery is the interval at which Run looks whether the machine was suspended.
-	lookEvery = 50 * time.Millisecond
-	// leastJump is the least difference between the clocks that is taken for a suspension,
-	// beyond what the readings leave open.
-	leastJump = time.Millisecond
-	// sharpWithin is within what time two clocks are to be read, readTries how often that is
-	// tried: the task may be interrupted between them.
-	sharpWithin = 100 * time.Microsecond
-	readTries   = 4
-	// driftTolerance is by how much the time of day may move against the steady clock
-	// before a reading looks at the boot clock: it is set right by at most 0.5 ms a second.
-	driftTolerance = 5 * time.Millisecond
+	// checkInterval is the interval at which Run checks for suspensions.
+	checkInterval = 50 * time.Millisecond
+	// minSuspension is the smallest difference between the clocks that counts as a
+	// suspension, in addition to the uncertainty of the readings.
+	minSuspension = time.Millisecond
+	// A reading of both clocks that takes longer than maxReadGap is repeated, up to maxReads
+	// readings, since the goroutine may be preempted in between.
+	maxReadGap = 100 * time.Microsecond
+	maxReads   = 4
+	// maxWallDrift is how far the wall clock may drift from the monotonic clock before Now
+	// checks for a suspension. Clock synchronization adjusts the wall clock by at most
+	// 0.5 ms per second.
+	maxWallDrift = 5 * time.Millisecond
 )
 
-// Clock is a clock. It is safe for concurrent use.
+// Clock is a monotonic clock that includes suspensions. It is safe for concurrent use.
 type Clock struct {
 	readBoot func() (time.Duration, error)
-	// base is the reading at the start.
+	// base is the first reading.
 	base reading
-	// missing is how long the machine was suspended since base, in nanoseconds.
-	missing atomic.Int64
-	// drift is by how much the time of day moved against the steady clock since base when
-	// the boot clock was last looked at, in nanoseconds.
-	drift atomic.Int64
+	// suspended is the total suspended time since base, in nanoseconds.
+	suspended atomic.Int64
+	// wallDrift is the drift of the wall clock from the monotonic clock since base, as of the
+	// last check, in nanoseconds.
+	wallDrift atomic.Int64
 
 	mu sync.Mutex
-	// fault is why suspensions are not counted, nil if they are.
+	// fault is why suspensions cannot be detected, or nil.
 	fault  error
 	timers map[*Timer]struct{}
 }
@@ -54,46 +54,46 @@
 // Option changes a new Clock.
 type Option func(*Clock)
 
-// WithBootClock replaces the clock that counts suspensions.
+// WithBootClock replaces CLOCK_BOOTTIME, which includes suspensions.
 func WithBootClock(read func() (time.Duration, error)) Option {
 	return func(c *Clock) { c.readBoot = read }
 }
 
-// New returns a clock of this machine.
+// New returns a clock that starts with no suspended time.
 func New(opts ...Option) *Clock {
 	c := &Clock{readBoot: readBoot, timers: map[*Timer]struct{}{}}
-	for _, f := range opts {
-		f(c)
+	for _, opt := range opts {
+		opt(c)
 	}
 	base, err := c.read()
 	if err != nil {
-		c.fault = fmt.Errorf("clock: boot time cannot be read, the time for which the machine is suspended is not counted: %w", err)
+		c.fault = fmt.Errorf("clock: suspensions cannot be detected: read boot time: %w", err)
 	}
 	c.base = base
 	return c
 }
 
-// reading is what both clocks show at a moment.
+// reading is a simultaneous reading of the monotonic clock and the boot clock.
 type reading struct {
-	steady time.Time
-	boot   time.Duration
-	// within is by how much they may be apart.
-	within time.Duration
+	mono time.Time
+	boot time.Duration
+	// uncertainty is the maximum time between the two readings.
+	uncertainty time.Duration
 }
 
-// read reads both clocks, as close together as a few tries bring them.
+// read reads both clocks several times and returns the reading with the least uncertainty.
 func (c *Clock) read() (reading, error) {
-	best := reading{steady: steady(), within: time.Hour}
-	for range readTries {
-		before := steady()
+	best := reading{mono: monoNow(), uncertainty: time.Hour}
+	for range maxReads {
+		before := monoNow()
 		boot, err := c.readBoot()
 		if err != nil {
 			return best, err
 		}
-		if took := steady().Sub(before); took < best.within {
-			best = reading{steady: before.Add(took / 2), boot: boot, within: took}
+		if gap := monoNow().Sub(before); gap < best.uncertainty {
+			best = reading{mono: before.Add(gap / 2), boot: boot, uncertainty: gap}
 		}
-		if best.within <= sharpWithin {
+		if best.uncertainty <= maxReadGap {
 			break
 		}
 	}
@@ -102,7 +102,7 @@
 
 var system = sync.OnceValue(func() *Clock { return New() })
 
-// System returns the clock of this process, for what is given no other.
+// System returns the default clock of this process.
 func System() *Clock { return system() }
 
 func readBoot() (time.Duration, error) {
@@ -113,43 +113,43 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// Now returns the time.
+// Now returns the current time.
 func (c *Clock) Now() time.Time {
-	t := steady()
-	if (c.driftAt(t) - time.Duration(c.drift.Load())).Abs() > driftTolerance {
-		// The machine was suspended, or somebody set the time of day.
+	t := monoNow()
+	if (c.wallDriftAt(t) - time.Duration(c.wallDrift.Load())).Abs() > maxWallDrift {
+		// The machine was suspended, or the wall clock was set.
 		c.CheckSuspension()
 	}
-	return t.Add(time.Duration(c.missing.Load()))
+	return t.Add(time.Duration(c.suspended.Load()))
 }
 
-// steady reads the steady clock, with the time of day beside it.
-func steady() time.Time { return time.Now().Add(-setBack()) }
+// monoNow returns the monotonic and the wall clock time.
+func monoNow() time.Time { return time.Now().Add(-soakSetback()) }
 
-// driftAt returns by how much the time of day has moved against the steady clock.
-func (c *Clock) driftAt(t time.Time) time.Duration {
-	return t.Round(0).Sub(c.base.steady.Round(0)) - t.Sub(c.base.steady) + setBack()
+// wallDriftAt returns the drift of the wall clock from the monotonic clock since base.
+func (c *Clock) wallDriftAt(t time.Time) time.Duration {
+	return t.Round(0).Sub(c.base.mono.Round(0)) - t.Sub(c.base.mono) + soakSetback()
 }
 
-// Since returns the time since t.
+// Since returns the time elapsed since t.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
 // Until returns the time until t.
 func (c *Clock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
-// Suspended returns for how long the machine has been suspended since the start.
-func (c *Clock) Suspended() time.Duration { return time.Duration(c.missing.Load()) }
+// Suspended returns the total suspended time since New.
+func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// Fault returns why suspensions are not counted, nil if they are.
+// Fault returns why suspensions cannot be detected, or nil.
 func (c *Clock) Fault() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.fault
 }
 
-// Run looks for suspensions until ctx is done.
+// Run checks for suspensions periodically until ctx is done.
 func (c *Clock) Run(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -161,55 +161,57 @@
 	}
 }
 
-// CheckSuspension looks whether the machine was suspended. What is due by then is done at once.
+// CheckSuspension checks whether the machine was suspended since the last check. If so it adds the
+// suspended time and adjusts all timers. Timers that are due fire immediately.
 func (c *Clock) CheckSuspension() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fault != nil {
-		c.drift.Store(int64(c.driftAt(steady())))
+		c.wallDrift.Store(int64(c.wallDriftAt(monoNow())))
 		return
 	}
-	jump, err := c.jump()
+	newSuspension, err := c.newSuspension()
 	if err != nil {
 		c.fault = err
 		return
 	}
-	if jump > 0 {
-		c.missing.Add(int64(jump))
-		c.fireDue(steady().Add(time.Duration(c.missing.Load())))
+	if newSuspension > 0 {
+		c.suspended.Add(int64(newSuspension))
+		c.fireDue(monoNow().Add(time.Duration(c.suspended.Load())))
 	}
 }
 
-// jump returns by how much the boot clock has moved beyond the steady one since it was last
-// looked at, 0 if that is less than the readings leave open.
-func (c *Clock) jump() (time.Duration, error) {
+// newSuspension returns how far the boot clock has moved ahead of the monotonic clock since the
+// last check, or 0 if that is within the uncertainty of the readings.
+func (c *Clock) newSuspension() (time.Duration, error) {
 	now, err := c.read()
 	if err != nil {
-		return 0, fmt.Errorf("clock: boot time cannot be read any more, the time for which the machine is suspended is not counted: %w", err)
+		return 0, fmt.Errorf("clock: suspensions cannot be detected any more: read boot time: %w", err)
 	}
-	c.drift.Store(int64(c.driftAt(now.steady)))
-	jump := now.boot - c.base.boot - now.steady.Sub(c.base.steady) - time.Duration(c.missing.Load())
-	open := leastJump + now.within + c.base.within
+	c.wallDrift.Store(int64(c.wallDriftAt(now.mono)))
+	newSuspension := now.boot - c.base.boot - now.mono.Sub(c.base.mono) - time.Duration(c.suspended.Load())
+	tolerance := minSuspension + now.uncertainty + c.base.uncertainty
 	switch {
-	case jump < -open:
-		return 0, fmt.Errorf("clock: boot time went back by %v, the time for which the machine is suspended is not counted any more", -jump)
-	case jump < open:
+	case newSuspension < -tolerance:
+		return 0, fmt.Errorf("clock: suspensions cannot be detected any more: boot time went back by %v", -newSuspension)
+	case newSuspension < tolerance:
 		return 0, nil
 	default:
-		return jump, nil
+		return newSuspension, nil
 	}
 }
 
-// fireDue sets the timers right after a suspension, those that are due longest first.
+// fireDue resets the timers after a suspension, in the order of their deadlines. Timers that are
+// due fire immediately.
 func (c *Clock) fireDue(now time.Time) {
-	list := make([]*Timer, 0, len(c.timers))
+	timers := make([]*Timer, 0, len(c.timers))
 	for t := range c.timers {
-		list = append(list, t)
+		timers = append(timers, t)
 	}
-	slices.SortFunc(list, func(a, b *Timer) int { return a.at.Compare(b.at) })
-	for _, t := range list {
+	slices.SortFunc(timers, func(a, b *Timer) int { return a.deadline.Compare(b.deadline) })
+	for _, t := range timers {
 		if t.timer.Stop() {
-			t.timer.Reset(max(0, t.at.Sub(now)))
+			t.timer.Reset(max(0, t.deadline.Sub(now)))
 		}
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,142 +10,141 @@
 	"github.com/yarrowmast/yarrowmast/internal/clock"
 )
 
-// machine is one whose suspensions a test makes up: the boot clock moves on, the steady one
-// does not.
-type machine struct {
+// fakeMachine simulates suspensions: the boot clock advances and the monotonic clock does not.
+type fakeMachine struct {
 	start     time.Time
 	suspended atomic.Int64
 	fault     atomic.Pointer[error]
 }
 
-func newMachine() *machine { return &machine{start: time.Now()} }
+func newFakeMachine() *fakeMachine { return &fakeMachine{start: time.Now()} }
 
-func (m *machine) boot() (time.Duration, error) {
+func (m *fakeMachine) boot() (time.Duration, error) {
 	if err := m.fault.Load(); err != nil {
 		return 0, *err
 	}
 	return time.Since(m.start) + time.Duration(m.suspended.Load()), nil
 }
 
-func (m *machine) suspend(d time.Duration) { m.suspended.Add(int64(d)) }
+func (m *fakeMachine) suspend(d time.Duration) { m.suspended.Add(int64(d)) }
 
-const generous = 15 * time.Second
+const testTimeout = 15 * time.Second
 
-// TestSuspensionsAreCounted suspends a machine: the time moves on, timers and deadlines that
-// were due meanwhile are due at once, in their order, and others when they are.
-func TestSuspensionsAreCounted(t *testing.T) {
+// TestSuspensionsCount checks that the clock includes a suspension, and that the timers and
+// deadlines that became due fire at once while later timers do not.
+func TestSuspensionsCount(t *testing.T) {
 	for name, span := range map[string]time.Duration{"a moment": 200 * time.Millisecond, "seconds": 6 * time.Second, "a minute": time.Minute} {
 		t.Run(name, func(t *testing.T) {
-			m := newMachine()
+			m := newFakeMachine()
 			c := clock.New(clock.WithBootClock(m.boot))
 			fired := make(chan time.Duration, 3)
-			for _, part := range []time.Duration{2, 3, 1} {
-				after := span * part / 4
+			for _, quarters := range []time.Duration{2, 3, 1} {
+				after := span * quarters / 4
 				c.AfterFunc(after, func() { fired <- after })
 			}
-			never := c.AfterFunc(time.Hour, func() { t.Error("a timer of the future fires") })
+			future := c.AfterFunc(time.Hour, func() { t.Error("a timer fired before its deadline") })
 			ctx, cancel := c.WithDeadline(t.Context(), c.Now().Add(span/2))
 			defer cancel()
-			begun := c.Now()
+			start := c.Now()
 			m.suspend(span)
-			// A look may find less than all where this test is interrupted in it.
-			least := span - 10*time.Millisecond
-			for end := time.Now().Add(generous); c.Suspended() < least && time.Now().Before(end); {
+			// A check may find less than the whole suspension if it is preempted.
+			minimum := span - 10*time.Millisecond
+			for deadline := time.Now().Add(testTimeout); c.Suspended() < minimum && time.Now().Before(deadline); {
 				c.CheckSuspension()
 			}
-			if got := c.Since(begun); got < least {
-				t.Errorf("%v have passed, want %v at least", got, span)
+			if got := c.Since(start); got < minimum {
+				t.Errorf("elapsed time %v, want at least %v", got, span)
 			}
-			if got := c.Suspended(); got < least || got > span+10*time.Millisecond {
+			if got := c.Suspended(); got < minimum || got > span+10*time.Millisecond {
 				t.Errorf("suspended for %v, want %v", got, span)
 			}
 			for range 3 {
 				select {
 				case <-fired:
-				case <-time.After(generous):
-					t.Fatal("a timer that is due does not fire")
+				case <-time.After(testTimeout):
+					t.Fatal("a due timer did not fire")
 				}
 			}
 			<-ctx.Done()
 			if got := context.Cause(ctx); !errors.Is(got, context.DeadlineExceeded) {
-				t.Errorf("the context ends by %v", got)
+				t.Errorf("context ended with %v", got)
 			}
-			if !never.Stop() {
-				t.Error("a timer of the future was not to be stopped")
+			if !future.Stop() {
+				t.Error("a pending timer could not be stopped")
 			}
 		})
 	}
 }
 
-// TestWithoutSuspensions reads a clock of a machine that is not suspended: it goes with the
-// steady one, whatever the boot clock does that it must not.
+// TestWithoutSuspensions guards against counting suspensions when the boot clock fails, goes back
+// or jitters.
 func TestWithoutSuspensions(t *testing.T) {
 	broken := errors.New("no such clock")
 	tests := map[string]struct {
-		disturb func(m *machine)
+		disturb func(m *fakeMachine)
 		fault   bool
 	}{
-		"nothing happens":     {func(*machine) {}, false},
-		"it cannot be read":   {func(m *machine) { m.fault.Store(&broken) }, true},
-		"it goes back":        {func(m *machine) { m.suspend(-time.Minute) }, true},
-		"it jitters a little": {func(m *machine) { m.suspend(100 * time.Microsecond) }, false},
+		"undisturbed": {func(*fakeMachine) {}, false},
+		"unreadable":  {func(m *fakeMachine) { m.fault.Store(&broken) }, true},
+		"goes back":   {func(m *fakeMachine) { m.suspend(-time.Minute) }, true},
+		"jitters":     {func(m *fakeMachine) { m.suspend(100 * time.Microsecond) }, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			m := newMachine()
+			m := newFakeMachine()
 			c := clock.New(clock.WithBootClock(m.boot))
-			begun, steady := c.Now(), time.Now()
+			start, monoStart := c.Now(), time.Now()
 			tc.disturb(m)
 			for range 3 {
 				c.CheckSuspension()
 			}
-			if got, want := c.Since(begun), time.Since(steady); (got - want).Abs() > time.Second {
-				t.Errorf("%v have passed, want %v", got, want)
+			if got, want := c.Since(start), time.Since(monoStart); (got - want).Abs() > time.Second {
+				t.Errorf("elapsed time %v, want %v", got, want)
 			}
 			if got := c.Suspended(); got != 0 {
 				t.Errorf("suspended for %v", got)
 			}
 			if got := c.Fault() != nil; got != tc.fault {
-				t.Errorf("a fault: %v, want %v", c.Fault(), tc.fault)
+				t.Errorf("fault %v, want a fault: %v", c.Fault(), tc.fault)
 			}
 		})
 	}
 }
 
-// TestUnreadableAtTheStart has no boot clock at all: the clock says why, and goes on.
-func TestUnreadableAtTheStart(t *testing.T) {
+// TestBootClockUnreadable checks that the clock works without a boot clock and reports the fault.
+func TestBootClockUnreadable(t *testing.T) {
 	c := clock.New(clock.WithBootClock(func() (time.Duration, error) { return 0, errors.New("no such clock") }))
 	if c.Fault() == nil || c.Suspended() != 0 || c.Since(c.Now()) < 0 {
 		t.Errorf("fault %v, suspended for %v", c.Fault(), c.Suspended())
 	}
 }
 
-// TestSystem reads the clock of this machine.
+// TestSystem checks that the system clock does not go back.
 func TestSystem(t *testing.T) {
 	c := clock.System()
 	before := c.Now()
 	c.CheckSuspension()
 	if c.Since(before) < 0 || c.Until(before) > 0 {
-		t.Error("the time goes back")
+		t.Error("the time went back")
 	}
 }
 
-// TestSleepEndsWithItsContext waits for a time, and for one that is given up.
-func TestSleepEndsWithItsContext(t *testing.T) {
+// TestSleepStopsWithContext guards against a sleep that outlives its context.
+func TestSleepStopsWithContext(t *testing.T) {
 	c := clock.New()
 	ctx, cancel := context.WithCancel(t.Context())
 	if !c.Sleep(ctx, time.Millisecond) {
-		t.Error("it did not wait")
+		t.Error("Sleep reported a canceled context")
 	}
 	cancel()
 	if c.Sleep(ctx, time.Hour) {
-		t.Error("it waited for an hour")
+		t.Error("Sleep reported that an hour elapsed")
 	}
 }
 
 func BenchmarkNow(b *testing.B) {
 	c := clock.New()
-	b.Run("steady", func(b *testing.B) {
+	b.Run("time.Now", func(b *testing.B) {
 		for b.Loop() {
 			_ = time.Now()
 		}
@@ -155,7 +154,7 @@
 			_ = c.Now()
 		}
 	})
-	b.Run("look", func(b *testing.B) {
+	b.Run("check", func(b *testing.B) {
 		for b.Loop() {
 			c.CheckSuspension()
 		}
--- a/internal/clock/setback.go
+++ b/internal/clock/setback.go
@@ -4,6 +4,6 @@
 
 import "time"
 
-// setBack is by how much the steady clock is set back, as that of a machine that was
-// suspended is: not at all, but in the soak's build.
-func setBack() time.Duration { return 0 }
+// soakSetback returns how far the soak test sets back the monotonic clock. It is 0 in all other
+// builds.
+func soakSetback() time.Duration { return 0 }
--- a/internal/clock/setback_soak.go
+++ b/internal/clock/setback_soak.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// suspendedVar names the file that says by how much the steady clock of this process is set
-// back, as eight bytes of nanoseconds. The soak stops a process by a signal, which the steady
-// clock counts, and then has it stand still for as long by this file, as where the machine
-// was suspended. No other build can be told a time.
-const suspendedVar = "YARROWMAST_SOAK_SUSPENDED"
+// setbackVar is the environment variable with the name of a file that holds the setback as eight
+// bytes, in nanoseconds, little endian. The soak test stops a process with a signal and adds the
+// stopped time to the file. The process then sees its monotonic clock as after a suspension of
+// the machine.
+const setbackVar = "YARROWMAST_SOAK_SUSPENDED"
 
-var suspendedFile = sync.OnceValue(func() *os.File {
-	f, err := os.Open(os.Getenv(suspendedVar))
+var setbackFile = sync.OnceValue(func() *os.File {
+	f, err := os.Open(os.Getenv(setbackVar))
 	if err != nil {
 		return nil
 	}
 	return f
 })
 
-// setBack is by how much the steady clock is set back.
-func setBack() time.Duration {
-	f := suspendedFile()
+// soakSetback returns how far the monotonic clock is set back, 0 if the file cannot be read.
+func soakSetback() time.Duration {
+	f := setbackFile()
 	if f == nil {
 		return 0
 	}
--- a/internal/logread/logread.go
+++ b/internal/logread/logread.go
@@ -1,5 +1,5 @@
-// Package logread reads the logs of routers back: one line of key=value pairs
-// for each event, with whatever a collector put before them.
+// Package logread parses the logs of routers. Each line holds the key=value pairs of one event,
+// optionally after a prefix from a log collector.
 package logread
 
 import (
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// Record is one line of a log.
+// Record is one log line.
 type Record struct {
-	// Time is on the clock of the router that wrote it.
+	// Time is on the clock of the router.
 	Time time.Time
-	// Event is the line's msg, Router who wrote it.
+	// Event is the value of msg.
 	Event  string
 	Level  string
 	Router string
-	// Fields are all pairs of the line.
+	// Fields holds all pairs of the line.
 	Fields map[string]string
-	// Line is the line from its time on.
+	// Line is the line without the prefix.
 	Line string
 }
 
-// Int returns a field as a number, 0 if it is none.
+// Int returns the value of a field as an integer, or 0 if it is not one.
 func (r *Record) Int(key string) int64 {
 	n, err := strconv.ParseInt(r.Fields[key], 10, 64)
 	if err != nil {
@@ -34,29 +34,27 @@
 }
 
 const (
-	timeKey = "time="
-	// maxLine is the longest line that is read.
-	maxLine = 1 << 20
+	timeKey      = "time="
+	maxLineBytes = 1 << 20
 )
 
-// Parse reads one line; ok is false if it is none of a router's.
+// Parse parses a line. It reports false if the line is not the log line of a router.
 func Parse(line string) (r Record, ok bool) {
-	at := strings.Index(line, timeKey)
-	if at < 0 {
+	start := strings.Index(line, timeKey)
+	if start < 0 {
 		return Record{}, false
 	}
-	r.Line = line[at:]
-	r.Fields = pairs(r.Line)
-	t, err := time.Parse(time.RFC3339Nano, r.Fields["time"])
+	r.Line = line[start:]
+	r.Fields = parsePairs(r.Line)
+	timestamp, err := time.Parse(time.RFC3339Nano, r.Fields["time"])
 	if err != nil || r.Fields["msg"] == "" {
 		return Record{}, false
 	}
-	r.Time, r.Event, r.Level, r.Router = t, r.Fields["msg"], r.Fields["level"], r.Fields["router"]
+	r.Time, r.Event, r.Level, r.Router = timestamp, r.Fields["msg"], r.Fields["level"], r.Fields["router"]
 	return r, true
 }
 
-// pairs splits a line into its pairs.
-func pairs(line string) map[string]string {
+func parsePairs(line string) map[string]string {
 	fields := map[string]string{}
 	for line != "" {
 		line = strings.TrimLeft(line, " ")
@@ -71,7 +69,7 @@
 	return fields
 }
 
-// cutValue takes a value, quoted or plain, off the beginning of a line.
+// cutValue splits a quoted or plain value off the start of a line.
 func cutValue(line string) (value, rest string) {
 	if quoted, err := strconv.QuotedPrefix(line); err == nil {
 		value, _ = strconv.Unquote(quoted)
@@ -81,14 +79,13 @@
 	return value, rest
 }
 
-// Each calls use for every line of a router's in r and returns how many lines
-// were something else.
-func Each(r io.Reader, use func(Record)) (skipped int, err error) {
+// Each calls handle for each record in r. It returns the number of other non-empty lines.
+func Each(r io.Reader, handle func(Record)) (skipped int, err error) {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		if record, ok := Parse(lines.Text()); ok {
-			use(record)
+			handle(record)
 		} else if strings.TrimSpace(lines.Text()) != "" {
 			skipped++
 		}
--- a/internal/logread/logread_test.go
+++ b/internal/logread/logread_test.go
@@ -9,6 +9,7 @@
 	"github.com/yarrowmast/yarrowmast/internal/logread"
 )
 
+// TestParse checks quoting, prefixes, and lines that are not log lines.
 func TestParse(t *testing.T) {
 	tests := map[string]struct {
 		line string
@@ -16,15 +17,15 @@
 	}{
 		"plain": {"time=2026-01-01T03:25:43.001Z level=INFO msg=members router=a-0 live=3",
 			map[string]string{"time": "2026-01-01T03:25:43.001Z", "level": "INFO", "msg": "members", "router": "a-0", "live": "3"}},
-		"a collector's words before": {"  3.2 front-1 time=2026-01-01T03:25:43.001Z level=INFO msg=x router=a-0",
+		"collector prefix": {"  3.2 front-1 time=2026-01-01T03:25:43.001Z level=INFO msg=x router=a-0",
 			map[string]string{"time": "2026-01-01T03:25:43.001Z", "level": "INFO", "msg": "x", "router": "a-0"}},
 		"quoted values": {`time=2026-01-01T03:25:43Z level=WARN msg=x error="a \"b\" = c" code="" n=1`,
 			map[string]string{"time": "2026-01-01T03:25:43Z", "level": "WARN", "msg": "x", "error": `a "b" = c`, "code": "", "n": "1"}},
-		"no time":       {"level=INFO msg=x", nil},
-		"not a time":    {"time=soon level=INFO msg=x", nil},
-		"no event":      {"time=2026-01-01T03:25:43Z level=INFO", nil},
-		"empty":         {"", nil},
-		"only a prefix": {"time=", nil},
+		"no time":           {"level=INFO msg=x", nil},
+		"invalid time":      {"time=soon level=INFO msg=x", nil},
+		"no event":          {"time=2026-01-01T03:25:43Z level=INFO", nil},
+		"empty":             {"", nil},
+		"only the time key": {"time=", nil},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -39,7 +40,8 @@
 	}
 }
 
-func TestEachCountsOtherLines(t *testing.T) {
+// TestEachCountsSkippedLines guards against dropping or miscounting lines between records.
+func TestEachCountsSkippedLines(t *testing.T) {
 	text := "panic: something\n\ntime=2026-01-01T03:25:43Z level=INFO msg=x router=a-0\n"
 	n := 0
 	skipped, err := logread.Each(strings.NewReader(text), func(logread.Record) { n++ })
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,6 +1,5 @@
-// Package logsink writes a program's log without ever making it wait: lines
-// are queued and written by a task of their own. A reader that does not read
-// costs lines, never time; what was lost is counted and told.
+// Package logsink writes a log without blocking the caller. It queues the records and writes them
+// from its own goroutine. If the queue is full it drops records, counts them, and logs the count.
 package logsink
 
 import (
@@ -14,53 +13,49 @@
 )
 
 const (
-	// DefaultQueueSize is how many lines are queued.
+	// DefaultQueueSize is the maximum number of queued records.
 	DefaultQueueSize = 8192
-	// ordinaryPart is the part of the queue that ordinary lines may fill; the
-	// rest is kept for warnings, errors and requests that failed.
-	ordinaryPart = 0.5
-	// mostBatch bounds what is written at once, in bytes.
-	mostBatch = 64 << 10
-	// codeKey is the attribute that names why something failed, "" if it did
-	// not.
+	// lowPriorityFraction is the fraction of the queue that low-priority records may fill. The
+	// rest is reserved for warnings, errors and failed requests.
+	lowPriorityFraction = 0.5
+	maxBatchBytes       = 64 << 10
+	// codeKey is the attribute with the code of a failure, "" for a success.
 	codeKey = "code"
 )
 
-// Sink queues lines for a writer.
+// Sink queues log records for a writer.
 type Sink struct {
 	out   io.Writer
 	level slog.Leveler
 	lines chan *line
-	// batch is what is written next. Only the task that writes uses it.
+	// batch holds the text of the next write. Only run uses it.
 	batch bytes.Buffer
-	// quit asks the task to end, ended says that it has.
-	quit, ended chan struct{}
-	once        sync.Once
-	// dropped counts the lines lost since that was last told, failed those of
-	// them that were not ordinary.
-	dropped, failed atomic.Int64
+	// stop ends run, done is closed when run has returned.
+	stop, done chan struct{}
+	once       sync.Once
+	// dropped counts the records dropped since the last report, droppedFailures those of them
+	// that were not low priority.
+	dropped, droppedFailures atomic.Int64
 }
 
-// line is an event that is queued. The task that writes makes its text: the task that
-// logs has something else to do, and a stack that would have to grow for it, a seventh
-// of the time of a refused request (BenchmarkRefusedUnseen).
+// line is a queued record. The writing goroutine formats it, so that the logging goroutine does
+// not spend time or stack on it.
 type line struct {
-	text   slog.Handler
-	record slog.Record
+	formatter slog.Handler
+	record    slog.Record
 }
 
 // Option changes a new Sink.
 type Option func(*Sink)
 
-// WithQueueSize sets how many lines are queued.
+// WithQueueSize sets the maximum number of queued records.
 func WithQueueSize(n int) Option { return func(s *Sink) { s.lines = make(chan *line, n) } }
 
-// New returns a sink that writes lines of a level and above to out, until
-// Close.
+// New returns a sink that writes records of the level and above to out until Close.
 func New(out io.Writer, level slog.Leveler, opts ...Option) *Sink {
 	s := &Sink{
 		out: out, level: level, lines: make(chan *line, DefaultQueueSize),
-		quit: make(chan struct{}), ended: make(chan struct{}),
+		stop: make(chan struct{}), done: make(chan struct{}),
 	}
 	for _, f := range opts {
 		f(s)
@@ -69,30 +64,30 @@
 	return s
 }
 
-// Logger returns a logger whose lines go to the sink.
+// Logger returns a logger that writes to the sink.
 func (s *Sink) Logger() *slog.Logger { return slog.New(s.Handler()) }
 
-// Handler returns a handler whose lines go to the sink.
+// Handler returns a handler that writes to the sink.
 func (s *Sink) Handler() slog.Handler {
-	return &handler{sink: s, text: slog.NewTextHandler(&s.batch, &slog.HandlerOptions{Level: s.level})}
+	return &handler{sink: s, formatter: slog.NewTextHandler(&s.batch, &slog.HandlerOptions{Level: s.level})}
 }
 
-// Dropped returns how many lines were lost and not told of yet.
+// Dropped returns the number of dropped records that are not reported yet.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Close writes what is queued and ends the sink, at the latest after a time.
-// Lines that come later are lost.
-func (s *Sink) Close(within time.Duration) {
-	s.once.Do(func() { close(s.quit) })
+// Close writes the queued records and stops the sink. It waits for the timeout at most. Later
+// records are dropped.
+func (s *Sink) Close(timeout time.Duration) {
+	s.once.Do(func() { close(s.stop) })
 	select {
-	case <-s.ended:
-	case <-time.After(within):
+	case <-s.done:
+	case <-time.After(timeout):
 	}
 }
 
-// put queues a line if there is room for it.
-func (s *Sink) put(l *line, ordinary bool) {
-	if ordinary && float64(len(s.lines)) >= ordinaryPart*float64(cap(s.lines)) {
+// enqueue queues a line, or drops it if the queue is full.
+func (s *Sink) enqueue(l *line, lowPriority bool) {
+	if lowPriority && float64(len(s.lines)) >= lowPriorityFraction*float64(cap(s.lines)) {
 		s.dropped.Add(1)
 		return
 	}
@@ -100,20 +95,20 @@
 	case s.lines <- l:
 	default:
 		s.dropped.Add(1)
-		if !ordinary {
-			s.failed.Add(1)
+		if !lowPriority {
+			s.droppedFailures.Add(1)
 		}
 	}
 }
 
-// run is the task that writes.
+// run writes queued lines until stop is closed.
 func (s *Sink) run() {
-	defer close(s.ended)
+	defer close(s.done)
 	for {
 		select {
 		case l := <-s.lines:
 			s.write(l)
-		case <-s.quit:
+		case <-s.stop:
 			for len(s.lines) > 0 {
 				s.write(<-s.lines)
 			}
@@ -122,72 +117,72 @@
 	}
 }
 
-// write writes a line with all that are queued behind it, up to a bound.
+// write writes a line together with the queued lines, up to maxBatchBytes.
 func (s *Sink) write(l *line) {
 	s.batch.Reset()
 	s.format(l)
-	for s.batch.Len() < mostBatch && len(s.lines) > 0 {
+	for s.batch.Len() < maxBatchBytes && len(s.lines) > 0 {
 		s.format(<-s.lines)
 	}
-	s.tellDropped()
+	s.logDropped()
 	if _, err := s.out.Write(s.batch.Bytes()); err != nil {
 		s.dropped.Add(1)
 	}
 }
 
-// format adds the text of a line to the batch.
+// format appends the text of a line to the batch.
 func (s *Sink) format(l *line) {
-	if err := l.text.Handle(context.Background(), l.record); err != nil {
+	if err := l.formatter.Handle(context.Background(), l.record); err != nil {
 		s.dropped.Add(1)
 	}
 }
 
-func (s *Sink) tellDropped() {
+func (s *Sink) logDropped() {
 	if s.dropped.Load() == 0 {
 		return
 	}
 	log := slog.New(slog.NewTextHandler(&s.batch, nil))
-	log.Warn("log_dropped", "lines", s.dropped.Swap(0), "failures", s.failed.Swap(0))
+	log.Warn("log_dropped", "lines", s.dropped.Swap(0), "failures", s.droppedFailures.Swap(0))
 }
 
-// handler queues records.
+// handler is a slog.Handler that queues records.
 type handler struct {
-	sink *Sink
-	text slog.Handler
+	sink      *Sink
+	formatter slog.Handler
 }
 
 // Enabled implements slog.Handler.
 func (h *handler) Enabled(ctx context.Context, level slog.Level) bool {
-	return h.text.Enabled(ctx, level)
+	return h.formatter.Enabled(ctx, level)
 }
 
 // Handle implements slog.Handler.
 func (h *handler) Handle(_ context.Context, r slog.Record) error {
-	h.sink.put(&line{text: h.text, record: r.Clone()}, isOrdinary(r))
+	h.sink.enqueue(&line{formatter: h.formatter, record: r.Clone()}, isLowPriority(r))
 	return nil
 }
 
 // WithAttrs implements slog.Handler.
 func (h *handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &handler{sink: h.sink, text: h.text.WithAttrs(attrs)}
+	return &handler{sink: h.sink, formatter: h.formatter.WithAttrs(attrs)}
 }
 
 // WithGroup implements slog.Handler.
 func (h *handler) WithGroup(name string) slog.Handler {
-	return &handler{sink: h.sink, text: h.text.WithGroup(name)}
+	return &handler{sink: h.sink, formatter: h.formatter.WithGroup(name)}
 }
 
-// isOrdinary reports whether a record tells of nothing that went wrong.
-func isOrdinary(r slog.Record) bool {
+// isLowPriority reports whether a record is neither a warning, an error nor a failure.
+func isLowPriority(r slog.Record) bool {
 	if r.Level >= slog.LevelWarn {
 		return false
 	}
-	ordinary := true
+	lowPriority := true
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key == codeKey {
-			ordinary = a.Value.String() == ""
+			lowPriority = a.Value.String() == ""
 		}
-		return ordinary
+		return lowPriority
 	})
-	return ordinary
+	return lowPriority
 }
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -14,29 +14,29 @@
 	"github.com/yarrowmast/yarrowmast/internal/logsink"
 )
 
-// gate is a reader of the log that does not read until it is opened.
-type gate struct {
-	open chan struct{}
-	mu   sync.Mutex
-	buf  bytes.Buffer
+// blockedWriter blocks all writes until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	buf     bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (g *gate) Write(p []byte) (int, error) {
-	<-g.open
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.buf.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.unblock
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.buf.Write(p)
 }
 
-const generous = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// TestReaderThatDoesNotRead looks that logging goes on while nobody reads, that
-// failures are kept rather than successes, and that losses are told.
-func TestReaderThatDoesNotRead(t *testing.T) {
-	g := &gate{open: make(chan struct{})}
+// TestBlockedWriterDropsLowPriority guards against logging that blocks on its writer, against
+// dropping failures before successes, and against unreported drops.
+func TestBlockedWriterDropsLowPriority(t *testing.T) {
+	w := &blockedWriter{unblock: make(chan struct{})}
 	const lines = 100
-	s := logsink.New(g, slog.LevelInfo, logsink.WithQueueSize(lines))
+	s := logsink.New(w, slog.LevelInfo, logsink.WithQueueSize(lines))
 	log := s.Logger().With("router", "a-0")
 	done := make(chan struct{})
 	go func() {
@@ -51,28 +51,28 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(generous):
-		t.Fatal("logging waits for the reader")
+	case <-time.After(testTimeout):
+		t.Fatal("logging blocked on the writer")
 	}
-	close(g.open)
-	s.Close(generous)
-	text := g.buf.String()
+	close(w.unblock)
+	s.Close(testTimeout)
+	text := w.buf.String()
 	for i := range lines / 4 {
 		if !strings.Contains(text, fmt.Sprintf("request=bad-%d ", i)) || !strings.Contains(text, fmt.Sprintf("gap=%d\n", i)) {
-			t.Fatalf("failure %d was dropped while successes were kept", i)
+			t.Fatalf("failure %d was dropped before successes", i)
 		}
 	}
 	if !strings.Contains(text, "msg=log_dropped lines=") || !strings.Contains(text, "failures=0") {
-		t.Error("the loss is not told")
+		t.Error("no report of dropped failures and lines")
 	}
-	lost := 10*lines - strings.Count(text, "request=good-")
-	if told := toldLost(t, text); lost == 0 || told+int(s.Dropped()) != lost {
-		t.Errorf("%d lines were lost, %d are told and %d still counted", lost, told, s.Dropped())
+	dropped := 10*lines - strings.Count(text, "request=good-")
+	if reported := reportedDrops(t, text); dropped == 0 || reported+int(s.Dropped()) != dropped {
+		t.Errorf("%d lines were dropped, %d reported and %d not yet reported", dropped, reported, s.Dropped())
 	}
 }
 
-// toldLost sums the lines that a log says were lost.
-func toldLost(t *testing.T, text string) int {
+// reportedDrops returns the sum of the drops that a log reports.
+func reportedDrops(t *testing.T, text string) int {
 	t.Helper()
 	sum := 0
 	for _, m := range regexp.MustCompile(`msg=log_dropped lines=(\d+)`).FindAllStringSubmatch(text, -1) {
@@ -85,7 +85,8 @@
 	return sum
 }
 
-func TestLinesComeWholeAndInOrder(t *testing.T) {
+// TestRecordsAreWrittenInOrder guards against lost, reordered or interleaved lines.
+func TestRecordsAreWrittenInOrder(t *testing.T) {
 	var out bytes.Buffer
 	level := &slog.LevelVar{}
 	s := logsink.New(&out, level)
@@ -95,15 +96,15 @@
 		log.Info("n", "i", i)
 	}
 	log.Debug("below the level")
-	s.Close(generous)
-	log.Info("after the end")
+	s.Close(testTimeout)
+	log.Info("after close")
 	got := strings.Split(strings.TrimSuffix(out.String(), "\n"), "\n")
 	if len(got) != lines {
-		t.Fatalf("%d lines", len(got))
+		t.Fatalf("%d lines, want 1000", len(got))
 	}
 	for i, line := range got {
 		if !strings.HasSuffix(line, fmt.Sprintf("msg=n i=%d", i)) {
-			t.Fatalf("line %d: %s", i, line)
+			t.Fatalf("unexpected line %d: %s", i, line)
 		}
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,4 @@
-// Package metrics names every metric of a router and reports them through
-// tally, with its Prometheus reporter on the admin listener.
+// Package metrics defines the metrics of a router and exports them to Prometheus.
 package metrics
 
 import (
@@ -16,8 +15,7 @@
 	"github.com/yarrowmast/yarrowmast/internal/front"
 )
 
-// The names of all metrics. docs/METRICS.md lists them with their units; a
-// test compares the two.
+// The names of all metrics. A test compares them with docs/METRICS.md.
 const (
 	Requests           = "requests"
 	Refusals           = "refusals"
@@ -60,7 +58,7 @@
 	Events             = "events"
 )
 
-// Names lists every name.
+// Names returns the names of all metrics.
 func Names() []string {
 	return []string{
 		Requests, Refusals, Tokens, Retries, WaitSeconds, FirstByteSeconds, RequestSeconds, TableRevision,
@@ -71,13 +69,12 @@
 	}
 }
 
-// reportEvery is the interval at which tally hands values on.
-const reportEvery = time.Second
+// reportInterval is the interval at which tally updates the exported values.
+const reportInterval = time.Second
 
-// prefix stands before each name.
 const prefix = "yarrowmast"
 
-// Metrics is a router's metrics.
+// Metrics holds the metrics of a router.
 type Metrics struct {
 	scope   tally.Scope
 	handler http.Handler
@@ -86,21 +83,19 @@
 	wait, total, first tally.Histogram
 
 	mu sync.Mutex
-	// accounts are those that have labels of their own.
+	// accounts is the set of accounts with their own label.
 	accounts map[string]bool
-	// series are the counters by their labels: to look one up by its labels takes
-	// 5 us of a refusal's 35.
+	// series caches the counters by label, since a lookup in scope is slow.
 	series map[labels]*series
 }
 
-// labels tell a request's counters apart; code and verdict are "" where it was
-// answered.
+// labels are the labels of a request. code and verdict are "" for a success.
 type labels struct{ account, model, code, verdict string }
 
-// series is the counters of requests with the same labels.
+// series holds the counters of requests with the same labels.
 type series struct{ requests, tokens, retries, refusals tally.Counter }
 
-// New returns metrics whose values are labelled with the router's zone.
+// New returns metrics with the zone as a label.
 func New(zone string) (*Metrics, error) {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
@@ -112,7 +107,7 @@
 		SanitizeOptions: &prometheus.DefaultSanitizerOpts,
 
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	buckets, err := tally.ExponentialDurationBuckets(firstBucket, bucketFactor, bucketCount)
 	if err != nil {
 		return nil, fmt.Errorf("metrics: buckets: %w", err)
@@ -123,30 +118,30 @@
 	}, nil
 }
 
-// The buckets of durations run from 1 ms to about 2 minutes.
+// The histogram buckets start at 1 ms and grow by bucketFactor.
 const (
 	firstBucket  = time.Millisecond
 	bucketFactor = 1.8
 	bucketCount  = 20
 )
 
-// Handler answers scrapes.
+// Handler returns the handler for Prometheus scrapes.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// Close ends the reporting.
+// Close exports the last values and stops.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
 const (
-	// mostAccounts bounds the accounts with labels of their own: the first that
-	// are seen have them, all others are counted as otherAccounts.
-	mostAccounts  = 256
+	// maxAccounts limits the accounts with their own label, to bound the number of series.
+	// Later accounts share the label otherAccounts.
+	maxAccounts   = 256
 	otherAccounts = "(others)"
 )
 
-// label returns the label of an account. m.mu is held.
+// label returns the label of an account. The caller holds m.mu.
 func (m *Metrics) label(account string) string {
 	if !m.accounts[account] {
-		if len(m.accounts) >= mostAccounts {
+		if len(m.accounts) >= maxAccounts {
 			return otherAccounts
 		}
 		m.accounts[account] = true
@@ -201,7 +196,7 @@
 // Gauge sets a gauge.
 func (m *Metrics) Gauge(name string, v float64) { m.scope.Gauge(name).Update(v) }
 
-// Event sets the running count of a named event.
+// Event sets the total of a named event.
 func (m *Metrics) Event(name string, total int64) {
 	m.scope.Tagged(map[string]string{"event": name}).Gauge(Events).Update(float64(total))
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -10,8 +10,8 @@
 	"github.com/yarrowmast/yarrowmast/internal/metrics"
 )
 
-// TestAccountsAreBounded looks that thousands of accounts do not make as many
-// series, and that none of their requests is lost from the sums.
+// TestAccountsAreBounded guards against one series per account, and against losing the requests
+// of accounts without their own label.
 func TestAccountsAreBounded(t *testing.T) {
 	m, err := metrics.New("a")
 	if err != nil {
@@ -21,7 +21,7 @@
 	for i := range accounts {
 		m.RequestEnded(front.Outcome{Account: fmt.Sprint("account-", i), Model: "form"})
 	}
-	// Closing hands all values on.
+	// Close exports all values.
 	if err := m.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -38,6 +38,6 @@
 		total += n
 	}
 	if series > 300 || total != accounts {
-		t.Errorf("%d series with %v requests in all", series, total)
+		t.Errorf("%d series with a total of %v requests", series, total)
 	}
 }
