--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin answers operators: health, metrics, and a read-only view of a
-// router in JSON. It changes nothing.
+// Package admin serves the read-only HTTP API for operators: health, readiness, metrics and the
+// status of a router as JSON.
 package admin
 
 import (
@@ -16,11 +16,11 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// Paths of the admin listener.
+// Paths of the API.
 const (
 	PathHealth = "/healthz"
 	PathReady  = "/readyz"
-	// PathReadyShort is the same, for balancers that ask for no other.
+	// PathReadyShort is an alias of PathReady for load balancers with a fixed path.
 	PathReadyShort = "/ready"
 	PathStatus     = "/v1/status"
 	PathTable      = "/v1/table"
@@ -31,41 +31,39 @@
 const (
 	headerTimeout = 5 * time.Second
 	writeTimeout  = 30 * time.Second
-	maxHeader     = 16 << 10
+	maxHeaderSize = 16 << 10
 )
 
-// Source is what is shown.
+// Source provides the state of the router.
 type Source interface {
-	// State returns the router's state, which is written as JSON.
+	// State returns the status, which is written as JSON.
 	State() any
-	// Draining reports whether the router is stopping, Overloaded whether it
-	// cannot keep up with its requests.
+	// Draining reports whether the router is stopping.
 	Draining() bool
 	Overloaded() bool
-	// Table returns the table in force, nil before there is one.
+	// Table returns the table in force, or nil if there is none yet.
 	Table() *table.Table
 }
 
-// Server is the admin listener.
+// Server is the HTTP server of the API.
 type Server struct {
-	http *http.Server
-	// tls says that the listeners speak TLS.
-	tls     bool
-	leaving atomic.Bool
+	http     *http.Server
+	tls      bool
+	notReady atomic.Bool
 }
 
-// MarkNotReady says from now on that the router is not ready.
-func (s *Server) MarkNotReady() { s.leaving.Store(true) }
+// MarkNotReady makes the readiness check fail from now on.
+func (s *Server) MarkNotReady() { s.notReady.Store(true) }
 
-// New returns a server that shows the source, the metrics and the burn.
+// New returns a server for the source. burn returns the burn-rate snapshot, tlsConfig may be nil.
 func New(s Source, metrics http.Handler, burn func() any, tlsConfig *tls.Config) *Server {
-	srv := &Server{tls: tlsConfig != nil}
+	server := &Server{tls: tlsConfig != nil}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathHealth, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, health{Healthy: true})
 	})
 	for _, path := range []string{PathReady, PathReadyShort} {
-		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) { srv.ready(w, s) })
+		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) { server.ready(w, s) })
 	}
 	mux.HandleFunc("GET "+PathStatus, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, s.State())
@@ -77,11 +75,11 @@
 		writeJSON(w, http.StatusOK, burn())
 	})
 	mux.Handle("GET "+PathMetrics, metrics)
-	srv.http = &http.Server{
+	server.http = &http.Server{
 		Handler: mux, ReadHeaderTimeout: headerTimeout, WriteTimeout: writeTimeout,
-		MaxHeaderBytes: maxHeader, TLSConfig: tlsConfig,
+		MaxHeaderBytes: maxHeaderSize, TLSConfig: tlsConfig,
 	}
-	return srv
+	return server
 }
 
 type health struct {
@@ -89,12 +87,12 @@
 	Reason  string `json:"reason,omitempty"`
 }
 
-// ready tells a balancer whether to send callers here.
+// ready answers the readiness check of load balancers.
 func (s *Server) ready(w http.ResponseWriter, source Source) {
 	switch {
 	case source.Table() == nil:
 		writeJSON(w, http.StatusServiceUnavailable, health{Reason: "no table in force yet"})
-	case s.leaving.Load() || source.Draining():
+	case s.notReady.Load() || source.Draining():
 		writeJSON(w, http.StatusServiceUnavailable, health{Reason: "stopping"})
 	case source.Overloaded():
 		writeJSON(w, http.StatusServiceUnavailable, health{Reason: "cannot keep up"})
@@ -109,7 +107,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Serve answers operators on ln until Shutdown.
+// Serve accepts connections on ln until Shutdown.
 func (s *Server) Serve(ln net.Listener) error {
 	var err error
 	if s.tls {
@@ -123,7 +121,7 @@
 	return fmt.Errorf("admin: serve: %w", err)
 }
 
-// Shutdown ends the listener.
+// Shutdown stops the server gracefully.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if err := s.http.Shutdown(ctx); err != nil {
 		return fmt.Errorf("admin: shutdown: %w", err)
--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -10,29 +10,31 @@
 	"github.com/yarrowmast/yarrowmast/internal/front"
 )
 
-type clock struct{ now time.Time }
+type fakeClock struct{ now time.Time }
 
-func (c *clock) read() time.Time { return c.now }
+func (c *fakeClock) read() time.Time { return c.now }
 
 func outcome(status int, code, verdict string, first time.Duration) front.Outcome {
 	return front.Outcome{Account: "moka", Model: "form", Status: status, Code: code, Verdict: verdict, FirstByte: first, Total: first, Tokens: 1}
 }
 
-func find(t *testing.T, r *burn.Report, objective string) burn.ServiceLevel {
+func findLevel(t *testing.T, r *burn.Report, objective string) burn.ServiceLevel {
 	t.Helper()
 	for _, l := range r.Levels {
 		if l.Objective == objective {
 			return l
 		}
 	}
-	t.Fatalf("no level %s in %+v", objective, r.Levels)
+	t.Fatalf("no service level %s in %+v", objective, r.Levels)
 	return burn.ServiceLevel{}
 }
 
-func TestBurnOverTwoWindowsAndRouters(t *testing.T) {
-	c := &clock{now: time.Unix(1_700_000_000, 0)}
-	o := config.Defaults().Objectives
-	a, b := burn.New("a", o, burn.WithClock(c.read)), burn.New("b", o, burn.WithClock(c.read))
+// TestMergeBurnRates checks burn rates and alerts of two routers over both windows, and that client
+// errors do not count.
+func TestMergeBurnRates(t *testing.T) {
+	clock := &fakeClock{now: time.Unix(1_700_000_000, 0)}
+	objectives := config.Defaults().Objectives
+	a, b := burn.New("a", objectives, burn.WithClock(clock.read)), burn.New("b", objectives, burn.WithClock(clock.read))
 	for range 95 {
 		a.RequestEnded(outcome(200, "", "ran", time.Second))
 	}
@@ -48,21 +50,21 @@
 		return r
 	}
 	r := merge()
-	got := find(t, r, "availability")
+	got := findLevel(t, r, "availability")
 	if got.Requests != 100 || got.Long < 49.9 || got.Long > 50.1 || got.Alert != burn.AlertPage || got.BudgetLeft != 0 {
-		t.Errorf("availability %+v", got)
+		t.Errorf("unexpected availability %+v", got)
 	}
 	if r.Missing[0] != "c" || r.First[0].P50 < 990 || r.First[0].P50 > 1010 {
-		t.Errorf("report %+v", r)
+		t.Errorf("unexpected report %+v", r)
 	}
 	if file := filepath.Join(t.TempDir(), "burn.svg"); r.Save(file) != nil {
-		t.Error("the picture was not drawn")
+		t.Error("the chart was not written")
 	}
-	c.now = c.now.Add(10 * time.Minute)
-	if got = find(t, merge(), "availability"); got.Short != 0 || got.Long == 0 || got.Alert != burn.AlertNone {
+	clock.now = clock.now.Add(10 * time.Minute)
+	if got = findLevel(t, merge(), "availability"); got.Short != 0 || got.Long == 0 || got.Alert != burn.AlertNone {
 		t.Errorf("after 10 minutes %+v", got)
 	}
-	c.now = c.now.Add(time.Hour)
+	clock.now = clock.now.Add(time.Hour)
 	if r = merge(); len(r.Levels) != 0 {
 		t.Errorf("after an hour %+v", r.Levels)
 	}
--- a/internal/burn/plot.go
+++ b/internal/burn/plot.go
@@ -9,35 +9,35 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sizes of the picture.
+// Dimensions of the chart.
 const (
-	plotted     = 15
-	plotWidth   = 9 * vg.Inch
-	rowHeight   = 0.32 * vg.Inch
-	plotMargin  = 1.4 * vg.Inch
-	barPart     = 0.6
-	labelLength = 48
+	maxBars        = 15
+	plotWidth      = 9 * vg.Inch
+	rowHeight      = 0.32 * vg.Inch
+	plotMargin     = 1.4 * vg.Inch
+	barFraction    = 0.6
+	maxLabelLength = 48
 )
 
-// Save draws the levels that burn fastest to a file; its ending, .svg or
-// .png, gives the format.
+// Save writes a chart of the service levels with the highest burn rates. The file extension, .svg
+// or .png, selects the format.
 func (r *Report) Save(file string) error {
-	worst := r.Levels[:min(plotted, len(r.Levels))]
-	if len(worst) == 0 {
-		return fmt.Errorf("burn: nothing was counted yet, so there is nothing to draw")
+	top := r.Levels[:min(maxBars, len(r.Levels))]
+	if len(top) == 0 {
+		return fmt.Errorf("burn: no requests to draw")
 	}
 	p := plot.New()
 	p.Title.Text = "Service-level burn over the last hour (1 uses up the budget)"
 	p.X.Label.Text = "burn rate"
 	p.X.Min = 0
-	values := make(plotter.Values, len(worst))
-	labels := make([]string, len(worst))
-	for i := range worst {
-		l := worst[len(worst)-1-i]
+	values := make(plotter.Values, len(top))
+	labels := make([]string, len(top))
+	for i := range top {
+		l := top[len(top)-1-i]
 		values[i] = l.Long
 		labels[i] = label(l)
 	}
-	bars, err := plotter.NewBarChart(values, rowHeight*barPart)
+	bars, err := plotter.NewBarChart(values, rowHeight*barFraction)
 	if err != nil {
 		return fmt.Errorf("burn: draw: %w", err)
 	}
@@ -47,7 +47,7 @@
 	p.Add(plotter.NewGrid(), bars)
 	p.NominalY(labels...)
 	p.X.Max = max(1, values[len(values)-1]) * 1.05
-	if err := p.Save(plotWidth, plotMargin+vg.Length(len(worst))*rowHeight, file); err != nil {
+	if err := p.Save(plotWidth, plotMargin+vg.Length(len(top))*rowHeight, file); err != nil {
 		return fmt.Errorf("burn: save %s: %w", file, err)
 	}
 	return nil
@@ -55,8 +55,8 @@
 
 func label(l ServiceLevel) string {
 	text := l.Account + " " + l.Model + " " + l.Objective
-	if len(text) > labelLength {
-		text = text[:labelLength]
+	if len(text) > maxLabelLength {
+		text = text[:maxLabelLength]
 	}
 	return text
 }
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -9,39 +9,40 @@
 	"github.com/yarrowmast/yarrowmast/internal/config"
 )
 
-// Burn rates at which an alert is raised, when both windows are over them: at
-// 14.4 a month's budget is gone in two days, at 6 in five.
+// Burn rates that raise an alert if both windows reach them. A budget for 30 days lasts two days at
+// PageRate and five days at TicketRate.
 const (
 	PageRate   = 14.4
 	TicketRate = 6
 )
 
-// Alert is the state of a service level.
+// Alert is the alert state of a service level.
 type Alert string
 
-// The states of a service level.
+// Alert states.
 const (
 	AlertNone   Alert = "ok"
 	AlertTicket Alert = "ticket"
 	AlertPage   Alert = "page"
 )
 
-// ServiceLevel is how one service level is kept by one account and model.
+// ServiceLevel is the state of one objective for one account and model.
 type ServiceLevel struct {
 	Account string `json:"account"`
 	Model   string `json:"model"`
 	// Objective is availability, refusals, first-token or between-tokens.
 	Objective string `json:"objective"`
-	// Short and Long are burn rates: 1 uses up the budget exactly.
+	// Short and Long are the burn rates of the two windows. A rate of 1 uses exactly the
+	// error budget.
 	Short float64 `json:"short_burn"`
 	Long  float64 `json:"long_burn"`
-	// BudgetLeft is the part of the long window's budget that is left.
+	// BudgetLeft is the remaining fraction of the error budget of the long window.
 	BudgetLeft float64 `json:"budget_left"`
 	Requests   int64   `json:"requests"`
 	Alert      Alert   `json:"alert"`
 }
 
-// FirstToken is a model's time to the first token over all routers.
+// FirstToken holds the percentiles of the time to the first token of a model across all routers.
 type FirstToken struct {
 	Model string `json:"model"`
 	P50   int64  `json:"p50_ms"`
@@ -50,29 +51,29 @@
 	Count int64  `json:"count"`
 }
 
-// Report is the fleet's burn.
+// Report is the burn-rate report of the fleet.
 type Report struct {
-	// Levels has the worst first.
+	// Levels is sorted by Long, highest first.
 	Levels []ServiceLevel `json:"levels"`
 	First  []FirstToken   `json:"first_token"`
-	// Missing names the routers that did not answer.
+	// Missing lists the routers that did not respond.
 	Missing []string `json:"missing"`
-	// Uncounted is how many requests found no room at their router.
+	// Uncounted is the number of requests that were not counted because of maxRows.
 	Uncounted int64 `json:"uncounted"`
 }
 
-// level describes one service level.
-type level struct {
+// objective defines how to count the requests that miss an objective.
+type objective struct {
 	name string
-	// allowed is the share of requests that may miss it.
-	allowed func(config.Objectives) float64
-	bad     func(Counts) int64
-	of      func(Counts) int64
+	// errorBudget returns the fraction of requests that may miss the objective.
+	errorBudget func(config.Objectives) float64
+	countBad    func(Counts) int64
+	countTotal  func(Counts) int64
 }
 
 const percent = 100
 
-var levels = []level{
+var objectiveList = []objective{
 	{"availability", func(o config.Objectives) float64 { return 1 - o.AvailabilityPercent/percent },
 		func(c Counts) int64 { return c.Failed }, func(c Counts) int64 { return c.Total }},
 	{"refusals", func(o config.Objectives) float64 { return 1 - o.RefusalPercent/percent },
@@ -83,51 +84,51 @@
 		func(c Counts) int64 { return c.SlowBetween }, func(c Counts) int64 { return c.Streamed }},
 }
 
-// Merge adds the snapshots of all routers up.
+// Merge combines the snapshots of all routers into a report.
 func Merge(snapshots []Snapshot, missing []string) (*Report, error) {
 	r := &Report{Missing: missing}
 	rows := map[key]*Row{}
-	first := map[string]*hdrhistogram.Histogram{}
+	histograms := map[string]*hdrhistogram.Histogram{}
 	var objectives config.Objectives
 	for _, s := range snapshots {
 		objectives = s.Objectives
 		r.Uncounted += s.Uncounted
-		for _, x := range s.Rows {
-			k := key{x.Account, x.Model}
+		for _, row := range s.Rows {
+			k := key{row.Account, row.Model}
 			if rows[k] == nil {
-				rows[k] = &Row{Account: x.Account, Model: x.Model}
+				rows[k] = &Row{Account: row.Account, Model: row.Model}
 			}
-			rows[k].Short.Add(x.Short)
-			rows[k].Long.Add(x.Long)
+			rows[k].Short.Add(row.Short)
+			rows[k].Long.Add(row.Long)
 		}
-		if err := mergeFirst(first, s); err != nil {
+		if err := mergeHistograms(histograms, s); err != nil {
 			return nil, err
 		}
 	}
-	for _, x := range rows {
-		r.Levels = append(r.Levels, x.levels(objectives)...)
+	for _, row := range rows {
+		r.Levels = append(r.Levels, row.serviceLevels(objectives)...)
 	}
-	sort.Slice(r.Levels, func(i, j int) bool { return worse(&r.Levels[i], &r.Levels[j]) })
-	r.addFirst(first)
+	sort.Slice(r.Levels, func(i, j int) bool { return burnsFaster(&r.Levels[i], &r.Levels[j]) })
+	r.addFirstTokens(histograms)
 	return r, nil
 }
 
-func mergeFirst(first map[string]*hdrhistogram.Histogram, s Snapshot) error {
+func mergeHistograms(histograms map[string]*hdrhistogram.Histogram, s Snapshot) error {
 	for model, data := range s.First {
 		h, err := hdrhistogram.Decode(data)
 		if err != nil {
 			return fmt.Errorf("burn: histogram of %s at %s: %w", model, s.Router, err)
 		}
-		if first[model] == nil {
-			first[model] = hdrhistogram.New(lowestMillis, highestMillis, digits)
+		if histograms[model] == nil {
+			histograms[model] = hdrhistogram.New(minMillis, maxMillis, digits)
 		}
-		first[model].Merge(h)
+		histograms[model].Merge(h)
 	}
 	return nil
 }
 
-func (r *Report) addFirst(first map[string]*hdrhistogram.Histogram) {
-	for model, h := range first {
+func (r *Report) addFirstTokens(histograms map[string]*hdrhistogram.Histogram) {
+	for model, h := range histograms {
 		r.First = append(r.First, FirstToken{
 			Model: model, P50: h.ValueAtQuantile(50), P95: h.ValueAtQuantile(95), P99: h.ValueAtQuantile(99), Count: h.TotalCount(),
 		})
@@ -135,7 +136,7 @@
 	sort.Slice(r.First, func(i, j int) bool { return r.First[i].Model < r.First[j].Model })
 }
 
-func worse(a, b *ServiceLevel) bool {
+func burnsFaster(a, b *ServiceLevel) bool {
 	if a.Long != b.Long {
 		return a.Long > b.Long
 	}
@@ -148,33 +149,33 @@
 	return a.Objective < b.Objective
 }
 
-func (x *Row) levels(o config.Objectives) []ServiceLevel {
-	var all []ServiceLevel
-	for _, l := range levels {
-		v := ServiceLevel{
-			Account: x.Account, Model: x.Model, Objective: l.name, Requests: l.of(x.Long),
-			Short: rate(l.bad(x.Short), l.of(x.Short), l.allowed(o)),
-			Long:  rate(l.bad(x.Long), l.of(x.Long), l.allowed(o)),
+func (row *Row) serviceLevels(settings config.Objectives) []ServiceLevel {
+	var list []ServiceLevel
+	for _, o := range objectiveList {
+		level := ServiceLevel{
+			Account: row.Account, Model: row.Model, Objective: o.name, Requests: o.countTotal(row.Long),
+			Short: burnRate(o.countBad(row.Short), o.countTotal(row.Short), o.errorBudget(settings)),
+			Long:  burnRate(o.countBad(row.Long), o.countTotal(row.Long), o.errorBudget(settings)),
 		}
-		v.BudgetLeft = max(0, 1-v.Long)
-		v.Alert = alert(v.Short, v.Long)
-		all = append(all, v)
+		level.BudgetLeft = max(0, 1-level.Long)
+		level.Alert = alertFor(level.Short, level.Long)
+		list = append(list, level)
 	}
-	return all
+	return list
 }
 
-func rate(bad, of int64, allowed float64) float64 {
-	if of == 0 || allowed <= 0 {
+func burnRate(bad, total int64, errorBudget float64) float64 {
+	if total == 0 || errorBudget <= 0 {
 		return 0
 	}
-	return float64(bad) / float64(of) / allowed
+	return float64(bad) / float64(total) / errorBudget
 }
 
-func alert(short, long float64) Alert {
-	switch both := min(short, long); {
-	case both >= PageRate:
+func alertFor(short, long float64) Alert {
+	switch lower := min(short, long); {
+	case lower >= PageRate:
 		return AlertPage
-	case both >= TicketRate:
+	case lower >= TicketRate:
 		return AlertTicket
 	default:
 		return AlertNone
--- a/internal/burn/window.go
+++ b/internal/burn/window.go
@@ -1,5 +1,5 @@
-// Package burn counts how requests met the service levels, in memory and over
-// a sliding hour, and works out how fast their budgets burn.
+// Package burn counts requests over a sliding hour and computes the burn rates of the error budgets
+// of the service-level objectives.
 package burn
 
 import (
@@ -13,43 +13,41 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// The windows over which burn is reported.
+// Windows of the burn rates.
 const (
-	// Short shows what burns now, Long whether it goes on.
-	Short = 5 * time.Minute
-	Long  = time.Hour
-	// bucketFor is the grain of the windows.
-	bucketFor = time.Minute
-	buckets   = int(Long / bucketFor)
-	// maxRows bounds the accounts and models counted at one router.
+	// Short shows the current burn rate, Long whether it is sustained.
+	Short       = 5 * time.Minute
+	Long        = time.Hour
+	bucketWidth = time.Minute
+	buckets     = int(Long / bucketWidth)
+	// maxRows limits the pairs of account and model that a router counts.
 	maxRows = 20_000
 )
 
-// Histograms run from 1 ms to 10 minutes at two digits, so that merging
-// changes no value by more than 1%.
+// Range and precision of the histograms.
 const (
-	lowestMillis  = 1
-	highestMillis = 600_000
-	digits        = 2
+	minMillis = 1
+	maxMillis = 600_000
+	digits    = 2
 )
 
-// Counts are what happened in a window.
+// Counts holds the request counts of a window.
 type Counts struct {
-	// Total is every request but those that callers got wrong themselves.
+	// Total is the number of requests without client errors.
 	Total int64 `json:"total"`
-	// Failed were not answered and not refused.
+	// Failed is the number of failed requests that were not refused.
 	Failed int64 `json:"failed"`
-	// Refused were refused as not run.
+	// Refused is the number of requests that were refused without being run.
 	Refused int64 `json:"refused"`
-	// Streamed is how many answers had a first byte to time, and SlowFirst
-	// how many of them came later than the objective.
+	// Streamed is the number of successful responses with a first byte, SlowFirst the
+	// number of those that missed the objective for the first token.
 	Streamed  int64 `json:"streamed"`
 	SlowFirst int64 `json:"slow_first"`
-	// SlowBetween is how many streams took longer between tokens.
+	// SlowBetween is the number of those that missed the objective between tokens.
 	SlowBetween int64 `json:"slow_between"`
 }
 
-// Add adds other counts.
+// Add adds d to c.
 func (c *Counts) Add(d Counts) {
 	c.Total += d.Total
 	c.Failed += d.Failed
@@ -59,7 +57,7 @@
 	c.SlowBetween += d.SlowBetween
 }
 
-// Row is one account's use of one model at one router.
+// Row holds the counts of one account and model at one router.
 type Row struct {
 	Account string `json:"account"`
 	Model   string `json:"model"`
@@ -67,34 +65,34 @@
 	Long    Counts `json:"long"`
 }
 
-// Snapshot is what one router counted.
+// Snapshot holds the counts of one router.
 type Snapshot struct {
 	Router     string            `json:"router"`
 	Objectives config.Objectives `json:"objectives"`
 	Rows       []Row             `json:"rows"`
-	// First holds, by model, the histogram of the time to the first token
-	// in the V2 compressed encoding.
+	// First maps each model to the histogram of the time to the first token, in the V2
+	// compressed encoding of HdrHistogram.
 	First map[string][]byte `json:"first"`
-	// Uncounted is how many requests found no room in the rows.
+	// Uncounted is the number of requests that were not counted because of maxRows.
 	Uncounted int64 `json:"uncounted"`
 }
 
 type key struct{ account, model string }
 
-// row is a ring of buckets; each knows which minute it counts.
-type row struct {
-	at     [buckets]int64
-	counts [buckets]Counts
+// ring is a ring buffer with one bucket per minute. minutes holds the minute of each bucket.
+type ring struct {
+	minutes [buckets]int64
+	counts  [buckets]Counts
 }
 
-// Window counts for one router. It is safe for concurrent use.
+// Window counts the requests of one router. It is safe for concurrent use.
 type Window struct {
 	router     string
 	objectives config.Objectives
 	now        func() time.Time
 
 	mu        sync.Mutex
-	rows      map[key]*row
+	rows      map[key]*ring
 	first     map[string]*hdrhistogram.Histogram
 	uncounted int64
 }
@@ -109,7 +107,7 @@
 func New(router string, o config.Objectives, opts ...Option) *Window {
 	w := &Window{
 		router: router, objectives: o, now: time.Now,
-		rows: map[key]*row{}, first: map[string]*hdrhistogram.Histogram{},
+		rows: map[key]*ring{}, first: map[string]*hdrhistogram.Histogram{},
 	}
 	for _, f := range opts {
 		f(w)
@@ -119,10 +117,10 @@
 
 // RequestEnded implements front.Observer.
 func (w *Window) RequestEnded(o front.Outcome) {
-	if o.Account == "" || callersFault(o) {
+	if o.Account == "" || isClientError(o) {
 		return
 	}
-	c := w.judge(o)
+	c := w.classify(o)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r, ok := w.rows[key{o.Account, o.Model}]
@@ -131,30 +129,30 @@
 			w.uncounted++
 			return
 		}
-		r = &row{}
+		r = &ring{}
 		w.rows[key{o.Account, o.Model}] = r
 	}
 	r.add(w.now(), c)
 	if c.Streamed > 0 {
-		w.histogram(o.Model).RecordValue(max(lowestMillis, min(highestMillis, o.FirstByte.Milliseconds())))
+		w.histogram(o.Model).RecordValue(max(minMillis, min(maxMillis, o.FirstByte.Milliseconds())))
 	}
 }
 
 func (w *Window) histogram(model string) *hdrhistogram.Histogram {
 	h, ok := w.first[model]
 	if !ok {
-		h = hdrhistogram.New(lowestMillis, highestMillis, digits)
+		h = hdrhistogram.New(minMillis, maxMillis, digits)
 		w.first[model] = h
 	}
 	return h
 }
 
-// callersFault reports whether the request failed by its caller's doing.
-func callersFault(o front.Outcome) bool {
+// isClientError reports whether the request failed because of the client. Status 429 is a refusal.
+func isClientError(o front.Outcome) bool {
 	return o.Code != "" && o.Status >= 400 && o.Status < 500 && o.Status != 429
 }
 
-func (w *Window) judge(o front.Outcome) Counts {
+func (w *Window) classify(o front.Outcome) Counts {
 	c := Counts{Total: 1}
 	switch {
 	case o.Code != "" && o.Verdict == verdict.NotRun.String():
@@ -175,29 +173,29 @@
 	return c
 }
 
-func (r *row) add(now time.Time, c Counts) {
-	minute := now.Unix() / int64(bucketFor.Seconds())
+func (r *ring) add(now time.Time, c Counts) {
+	minute := now.Unix() / int64(bucketWidth.Seconds())
 	i := int(minute % int64(buckets))
-	if r.at[i] != minute {
-		r.at[i] = minute
+	if r.minutes[i] != minute {
+		r.minutes[i] = minute
 		r.counts[i] = Counts{}
 	}
 	r.counts[i].Add(c)
 }
 
-// sum adds up the buckets of the last d.
-func (r *row) sum(now time.Time, d time.Duration) Counts {
-	minute := now.Unix() / int64(bucketFor.Seconds())
+// sum returns the sum of the buckets of the last d.
+func (r *ring) sum(now time.Time, d time.Duration) Counts {
+	minute := now.Unix() / int64(bucketWidth.Seconds())
 	var c Counts
-	for i := range r.at {
-		if r.at[i] > minute-int64(d/bucketFor) && r.at[i] <= minute {
+	for i := range r.minutes {
+		if r.minutes[i] > minute-int64(d/bucketWidth) && r.minutes[i] <= minute {
 			c.Add(r.counts[i])
 		}
 	}
 	return c
 }
 
-// Snapshot returns what was counted.
+// Snapshot returns the current counts and removes rows without requests in the last hour.
 func (w *Window) Snapshot() Snapshot {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -212,9 +210,9 @@
 		s.Rows = append(s.Rows, Row{Account: k.account, Model: k.model, Short: r.sum(now, Short), Long: long})
 	}
 	for model, h := range w.first {
-		data, err := h.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+		encoded, err := h.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 		if err == nil {
-			s.First[model] = data
+			s.First[model] = encoded
 		}
 	}
 	return s
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,4 @@
-// Package command is what the subcommands of yarrowctl share: their table,
-// their context and their exit codes.
+// Package command parses and runs the subcommands of yarrowctl and defines the exit codes.
 package command
 
 import (
@@ -16,20 +15,20 @@
 // Exit codes of both programs.
 const (
 	ExitOK = 0
-	// ExitFailed means that the command ran and what it looked at is bad.
+	// ExitFailed means that the command ran and found a problem.
 	ExitFailed = 1
-	// ExitUsage means that the command could not run as it was given.
+	// ExitUsage means that the command could not run, e.g. because of invalid arguments.
 	ExitUsage = 2
 )
 
-// ErrFailed is returned by an action that has already said what is bad.
+// ErrFailed is returned by a command that has already printed the problem.
 var ErrFailed = errors.New("failed")
 
-// Context is what an action is given.
+// Context holds the output streams of a command.
 type Context struct {
 	Out io.Writer
 	Err io.Writer
-	// Terminal says that Out is a terminal, where colours may be used.
+	// Terminal is set if Out is a terminal.
 	Terminal bool
 }
 
@@ -37,33 +36,33 @@
 type Command struct {
 	Name        string
 	Description string
-	// Flags adds the command's flags and arguments.
+	// Flags defines the flags and arguments. May be nil.
 	Flags func(*flaggy.Subcommand)
-	// Run does the work. An error ends the program with ExitUsage, or with
-	// ExitFailed if it is ErrFailed.
+	// Run executes the command. The exit code is ExitFailed for ErrFailed and ExitUsage for
+	// any other error.
 	Run func(*Context) error
 }
 
-// Run parses args, runs the command they name and returns the exit code.
+// Run parses args, runs the subcommand and returns the exit code.
 func Run(program, description string, commands []*Command, args []string, c *Context) int {
 	p := flaggy.NewParser(program)
 	p.Description = description
 	p.Version = Version
-	subs := make([]*flaggy.Subcommand, len(commands))
+	subcommands := make([]*flaggy.Subcommand, len(commands))
 	for i, cmd := range commands {
-		subs[i] = flaggy.NewSubcommand(cmd.Name)
-		subs[i].Description = cmd.Description
+		subcommands[i] = flaggy.NewSubcommand(cmd.Name)
+		subcommands[i].Description = cmd.Description
 		if cmd.Flags != nil {
-			cmd.Flags(subs[i])
+			cmd.Flags(subcommands[i])
 		}
-		p.AttachSubcommand(subs[i], 1)
+		p.AttachSubcommand(subcommands[i], 1)
 	}
 	if err := p.ParseArgs(args); err != nil {
 		_, _ = fmt.Fprintf(c.Err, "%s: %v; see %s --help\n", program, err, program)
 		return ExitUsage
 	}
 	for i, cmd := range commands {
-		if subs[i].Used {
+		if subcommands[i].Used {
 			return exitCode(program, cmd, c)
 		}
 	}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -36,7 +36,7 @@
 // that are compared.
 const proximity = 2 * time.Second
 
-// trace holds the log records of one request.
+// trace holds what the logs contain about one request.
 type trace struct {
 	id       string
 	records  []logread.Record
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet asks the admin listeners of all routers at once, for the
-// operators' command. Who does not answer is named, never left out.
+// Package fleet queries the admin API of all routers concurrently. The results include the routers
+// that did not respond.
 package fleet
 
 import (
@@ -16,30 +16,30 @@
 	"github.com/yarrowmast/yarrowmast/internal/platform"
 )
 
-// askTimeout bounds the wait for one router.
-const askTimeout = 3 * time.Second
+// queryTimeout limits one query.
+const queryTimeout = 3 * time.Second
 
-// atOnce bounds how many routers are asked at the same time.
-const atOnce = 64
+// maxConcurrent limits the concurrent queries.
+const maxConcurrent = 64
 
-// Router is a router to ask.
+// Router is a router to query.
 type Router struct {
 	Name  string `json:"name"`
 	Zone  string `json:"zone,omitempty"`
 	Admin string `json:"admin"`
 }
 
-// Response is one router's answer, or why there is none.
+// Response is the response of one router, or the error.
 type Response[V any] struct {
 	Router Router `json:"router"`
 	Value  V      `json:"value"`
-	// Error is "" if the router answered.
+	// Error is "" if the router responded.
 	Error string `json:"error,omitempty"`
 }
 
-// ListRouters returns the routers on the platform's list, by zone and name.
+// ListRouters returns the routers that the platform lists, sorted by zone and name.
 func ListRouters(address string) ([]Router, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
 	list, _, err := platform.New(address).WatchInstances(ctx, 0)
 	if err != nil {
@@ -58,45 +58,44 @@
 	return all, nil
 }
 
-// Client asks admin listeners.
+// Client queries admin APIs.
 type Client struct {
 	http   *http.Client
 	scheme string
 }
 
-// New returns a client that asks over TLS by the configuration, or without
-// TLS if it is nil.
+// New returns a client that uses TLS, or plain HTTP if the configuration is nil.
 func New(c *tls.Config) *Client {
 	if c == nil {
-		return &Client{http: &http.Client{Timeout: askTimeout}, scheme: "http://"}
+		return &Client{http: &http.Client{Timeout: queryTimeout}, scheme: "http://"}
 	}
-	return &Client{http: &http.Client{Timeout: askTimeout, Transport: &http.Transport{TLSClientConfig: c}}, scheme: "https://"}
+	return &Client{http: &http.Client{Timeout: queryTimeout, Transport: &http.Transport{TLSClientConfig: c}}, scheme: "https://"}
 }
 
-// Query gets a path of every router's admin listener, in the routers' order.
+// Query gets a path from all routers. The responses are in the order of the routers.
 func Query[V any](c *Client, routers []Router, path string) []Response[V] {
-	answers := make([]Response[V], len(routers))
-	slots := make(chan struct{}, atOnce)
+	responses := make([]Response[V], len(routers))
+	semaphore := make(chan struct{}, maxConcurrent)
 	var all sync.WaitGroup
 	for i, r := range routers {
 		all.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
-			answers[i] = askOne[V](c, r, path)
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			responses[i] = queryOne[V](c, r, path)
 		})
 	}
 	all.Wait()
-	return answers
+	return responses
 }
 
-func askOne[V any](c *Client, r Router, path string) Response[V] {
-	a := Response[V]{Router: r}
-	resp, err := sling.New().Client(c.http).Get(c.scheme + r.Admin + path).ReceiveSuccess(&a.Value)
+func queryOne[V any](c *Client, r Router, path string) Response[V] {
+	response := Response[V]{Router: r}
+	resp, err := sling.New().Client(c.http).Get(c.scheme + r.Admin + path).ReceiveSuccess(&response.Value)
 	switch {
 	case err != nil:
-		a.Error = err.Error()
+		response.Error = err.Error()
 	case resp.StatusCode != http.StatusOK:
-		a.Error = resp.Status
+		response.Error = resp.Status
 	}
-	return a
+	return response
 }
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -76,7 +76,7 @@
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
 // Close writes the queued records and stops the sink. It waits for the timeout at most. Later
-// records are dropped.
+// records are discarded.
 func (s *Sink) Close(timeout time.Duration) {
 	s.once.Do(func() { close(s.stop) })
 	select {
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -1,5 +1,5 @@
-// Package tlsconf makes TLS configurations from files and reads the files
-// again when they change, so that certificates are renewed without a restart.
+// Package tlsconf creates TLS configurations from files. It reloads certificates when their files
+// change, so that they can be renewed without a restart.
 package tlsconf
 
 import (
@@ -15,72 +15,72 @@
 	"github.com/yarrowmast/yarrowmast/internal/config"
 )
 
-// checkEvery is how often the files' times are looked at, at most.
-const checkEvery = time.Second
+// checkInterval is the minimum time between checks for changed files.
+const checkInterval = time.Second
 
-// ErrNoCACertificate is returned for an authority's file without a certificate.
-var ErrNoCACertificate = errors.New("tlsconf: the authority's file holds no certificate")
+// ErrNoCACertificate is returned for a CA file without certificates.
+var ErrNoCACertificate = errors.New("tlsconf: no certificate in the CA file")
 
-// source is a key pair on disk and its last good reading.
-type source struct {
+// keyPair caches the key pair from files on disk.
+type keyPair struct {
 	files config.TLS
 
-	mu      sync.Mutex
-	pair    *tls.Certificate
-	changed time.Time
-	checked time.Time
+	mu        sync.Mutex
+	pair      *tls.Certificate
+	modTime   time.Time
+	lastCheck time.Time
 }
 
-// New returns a configuration for a listener, or nil if the settings name no
-// files. With an authority, the other side must show a certificate of it.
+// New returns a configuration for a listener, or nil if files is empty. If there is a CA file, the
+// other side must present a certificate signed by this CA.
 func New(files config.TLS) (*tls.Config, error) {
 	if files.Cert == "" {
 		return nil, nil
 	}
-	s := &source{files: files}
-	if _, err := s.get(); err != nil {
+	keys := &keyPair{files: files}
+	if _, err := keys.load(); err != nil {
 		return nil, err
 	}
-	c := &tls.Config{
+	conf := &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: nil,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return s.get()
+			return keys.load()
 		},
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return s.get()
+			return keys.load()
 		},
 	}
 	if files.CA == "" {
-		return c, nil
+		return conf, nil
 	}
-	pool, err := authority(files.CA)
+	pool, err := loadCA(files.CA)
 	if err != nil {
 		return nil, err
 	}
-	c.ClientCAs = pool
-	c.RootCAs = pool
-	c.ClientAuth = tls.RequireAndVerifyClientCert
-	return c, nil
+	conf.ClientCAs = pool
+	conf.RootCAs = pool
+	conf.ClientAuth = tls.RequireAndVerifyClientCert
+	return conf, nil
 }
 
-// NewClient returns a configuration for asking servers whose certificates the
-// authority signed. The own key pair may be left out.
+// NewClient returns a configuration for a client of servers with certificates signed by the CA.
+// The key pair is optional.
 func NewClient(files config.TLS) (*tls.Config, error) {
 	if files.Cert != "" {
 		return New(files)
 	}
-	pool, err := authority(files.CA)
+	pool, err := loadCA(files.CA)
 	if err != nil {
 		return nil, err
 	}
 	return &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: pool}, nil
 }
 
-func authority(file string) (*x509.CertPool, error) {
+func loadCA(file string) (*x509.CertPool, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fmt.Errorf("tlsconf: authority: %w", err)
+		return nil, fmt.Errorf("tlsconf: CA: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
@@ -89,27 +89,27 @@
 	return pool, nil
 }
 
-// get returns the key pair, read anew if its file changed. A file that cannot
-// be read leaves the last good pair in use.
-func (s *source) get() (*tls.Certificate, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.pair != nil && clock.System().Since(s.checked) < checkEvery {
-		return s.pair, nil
+// load returns the key pair and reloads it if the certificate file has changed. If the files cannot
+// be loaded it returns the previous pair.
+func (k *keyPair) load() (*tls.Certificate, error) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.pair != nil && clock.System().Since(k.lastCheck) < checkInterval {
+		return k.pair, nil
 	}
-	s.checked = clock.System().Now()
-	info, err := os.Stat(s.files.Cert)
-	if err == nil && s.pair != nil && info.ModTime().Equal(s.changed) {
-		return s.pair, nil
+	k.lastCheck = clock.System().Now()
+	info, err := os.Stat(k.files.Cert)
+	if err == nil && k.pair != nil && info.ModTime().Equal(k.modTime) {
+		return k.pair, nil
 	}
-	pair, loadErr := tls.LoadX509KeyPair(s.files.Cert, s.files.Key)
+	pair, loadErr := tls.LoadX509KeyPair(k.files.Cert, k.files.Key)
 	if err != nil || loadErr != nil {
-		if s.pair != nil {
-			return s.pair, nil
+		if k.pair != nil {
+			return k.pair, nil
 		}
-		return nil, fmt.Errorf("tlsconf: key pair: %w", errors.Join(err, loadErr))
+		return nil, fmt.Errorf("tlsconf: load key pair: %w", errors.Join(err, loadErr))
 	}
-	s.pair = &pair
-	s.changed = info.ModTime()
-	return s.pair, nil
+	k.pair = &pair
+	k.modTime = info.ModTime()
+	return k.pair, nil
 }
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -22,8 +22,8 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// authority signs certificates for a test.
-type authority struct {
+// testCA is a certificate authority with files in a temporary directory.
+type testCA struct {
 	t    *testing.T
 	dir  string
 	cert *x509.Certificate
@@ -31,15 +31,15 @@
 	next int64
 }
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	t.Helper()
-	a := &authority{t: t, dir: t.TempDir(), next: 1}
+	a := &testCA{t: t, dir: t.TempDir(), next: 1}
 	a.key = newKey(t)
-	self := &x509.Certificate{
+	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"}, IsCA: true, BasicConstraintsValid: true,
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), KeyUsage: x509.KeyUsageCertSign,
 	}
-	der, err := x509.CreateCertificate(rand.Reader, self, self, &a.key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &a.key.PublicKey, a.key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	return key
 }
 
-func (a *authority) write(name, kind string, der []byte) string {
+func (a *testCA) write(name, kind string, der []byte) string {
 	a.t.Helper()
 	file := filepath.Join(a.dir, name)
 	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
@@ -68,8 +68,8 @@
 	return file
 }
 
-// issue writes a certificate for a name to files of the given base.
-func (a *authority) issue(base, name string) config.TLS {
+// issue writes a certificate for the name, and its key, to files that start with base.
+func (a *testCA) issue(base, name string) config.TLS {
 	a.t.Helper()
 	a.next++
 	key := newKey(a.t)
@@ -92,7 +92,7 @@
 	}
 }
 
-func load(t *testing.T, files config.TLS) *tls.Config {
+func newConfig(t *testing.T, files config.TLS) *tls.Config {
 	t.Helper()
 	c, err := tlsconf.New(files)
 	if err != nil {
@@ -112,29 +112,31 @@
 	return n, ln.Addr().String()
 }
 
-func TestRoutersProveTheirNames(t *testing.T) {
-	own, other := newAuthority(t), newAuthority(t)
+// TestPeersVerifyRouterNames guards against accepting messages from a router whose certificate has
+// another name or CA.
+func TestPeersVerifyRouterNames(t *testing.T) {
+	ca, otherCA := newTestCA(t), newTestCA(t)
 	tests := map[string]struct {
-		sender config.TLS
-		arrive bool
+		sender    config.TLS
+		delivered bool
 	}{
-		"its own name":        {own.issue("a", "a"), true},
-		"another's name":      {own.issue("x", "x"), false},
-		"a foreign authority": {other.issue("a", "a"), false},
+		"own name":               {ca.issue("a", "a"), true},
+		"name of another router": {ca.issue("x", "x"), false},
+		"unknown CA":             {otherCA.issue("a", "a"), false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			b, address := startPeer(t, "b", load(t, own.issue("b", "b")))
-			a, _ := startPeer(t, "a", load(t, tc.sender))
+			b, address := startPeer(t, "b", newConfig(t, ca.issue("b", "b")))
+			a, _ := startPeer(t, "a", newConfig(t, tc.sender))
 			a.SetAddresses(map[string]string{"b": address})
 			a.Send("b", &wire.TableRequest{Have: 1})
 			select {
 			case <-b.Inbox():
-				if !tc.arrive {
-					t.Error("the message arrived")
+				if !tc.delivered {
+					t.Error("the message was delivered")
 				}
 			case <-a.Losses():
-				if tc.arrive {
+				if tc.delivered {
 					t.Error("the message was lost")
 				}
 			}
@@ -142,44 +144,46 @@
 	}
 }
 
-func TestChangedFilesAreReadAgain(t *testing.T) {
-	a := newAuthority(t)
-	files := a.issue("a", "a")
-	c := load(t, files)
+// TestCertificateReload guards against using an old certificate after its file has changed.
+func TestCertificateReload(t *testing.T) {
+	ca := newTestCA(t)
+	files := ca.issue("a", "a")
+	c := newConfig(t, files)
 	first, err := c.GetCertificate(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.issue("a", "a")
+	ca.issue("a", "a")
 	later := time.Now().Add(time.Minute)
 	if err := os.Chtimes(files.Cert, later, later); err != nil {
 		t.Fatal(err)
 	}
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) {
-		now, err := c.GetCertificate(nil)
+		current, err := c.GetCertificate(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if string(now.Certificate[0]) != string(first.Certificate[0]) {
+		if string(current.Certificate[0]) != string(first.Certificate[0]) {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Error("the new certificate is not in use")
+	t.Error("the new certificate was not loaded")
 }
 
-func TestBadKeysRefuseToStart(t *testing.T) {
-	a := newAuthority(t)
-	good := a.issue("a", "a")
+// TestInvalidFiles checks that missing or inconsistent files are errors.
+func TestInvalidFiles(t *testing.T) {
+	ca := newTestCA(t)
+	good := ca.issue("a", "a")
 	for name, files := range map[string]config.TLS{
-		"no such file":     {Cert: "nope", Key: "nope"},
-		"key of another":   {Cert: good.Cert, Key: a.issue("b", "b").Key},
-		"authority no PEM": {Cert: good.Cert, Key: good.Key, CA: good.Key},
+		"missing file":                {Cert: "nope", Key: "nope"},
+		"key of another certificate":  {Cert: good.Cert, Key: ca.issue("b", "b").Key},
+		"CA file without certificate": {Cert: good.Cert, Key: good.Key, CA: good.Key},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := tlsconf.New(files); err == nil {
-				t.Error("the files were taken")
+				t.Error("no error for invalid files")
 			}
 		})
 	}
