--- a/cmd/yarrowctl/cmd_table.go
+++ b/cmd/yarrowctl/cmd_table.go
@@ -63,8 +63,7 @@
 	return errIfUnreachable(responses)
 }
 
-// waitForTable polls the routers until the version is active on all routers that respond,
-// or until the timeout.
+// waitForTable polls the routers until all that respond use the version, or until the timeout.
 func waitForTable(c *command.Context, query func() []fleet.Response[router.Status], responses []fleet.Response[router.Status]) ([]fleet.Response[router.Status], error) {
 	deadline := time.Now().Add(tableArgs.timeout)
 	lastReport := time.Now()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -38,7 +38,8 @@
 type Source interface {
 	// State returns the status, which is written as JSON.
 	State() any
-	// Draining reports whether the router is stopping.
+	// Draining reports whether the router is stopping, Overloaded whether it is short of
+	// time for its requests.
 	Draining() bool
 	Overloaded() bool
 	// Table returns the table in force, or nil if there is none yet.
@@ -52,7 +53,7 @@
 	notReady atomic.Bool
 }
 
-// MarkNotReady makes the readiness check fail from now on.
+// MarkNotReady makes the readiness check fail, so that load balancers remove the router.
 func (s *Server) MarkNotReady() { s.notReady.Store(true) }
 
 // New returns a server for the source. burn returns the burn-rate snapshot, tlsConfig may be nil.
--- a/internal/daemon/machine.go
+++ b/internal/daemon/machine.go
@@ -10,7 +10,7 @@
 
 const (
 	// heapFraction is the fraction of the memory for the Go runtime. The rest is for kernel
-	// buffers and the program text.
+	// buffers and the executable.
 	heapFraction = 0.7
 	// The live heap of a router is small, so a high GC percentage saves processor time on
 	// machines with more memory. The memory limit applies in any case.
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -38,17 +38,17 @@
 		return nil, nil
 	}
 	keys := &keyPair{files: files}
-	if _, err := keys.load(); err != nil {
+	if _, err := keys.certificate(); err != nil {
 		return nil, err
 	}
 	conf := &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: nil,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return keys.load()
+			return keys.certificate()
 		},
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return keys.load()
+			return keys.certificate()
 		},
 	}
 	if files.CA == "" {
@@ -89,9 +89,9 @@
 	return pool, nil
 }
 
-// load returns the key pair and reloads it if the certificate file has changed. If the files cannot
-// be loaded it returns the previous pair.
-func (k *keyPair) load() (*tls.Certificate, error) {
+// certificate returns the key pair. It reloads the pair if the certificate file has changed, and
+// keeps the previous one if that fails.
+func (k *keyPair) certificate() (*tls.Certificate, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.pair != nil && clock.System().Since(k.lastCheck) < checkInterval {
