--- a/cmd/yarrowctl/cmd_drain.go
+++ b/cmd/yarrowctl/cmd_drain.go
@@ -33,18 +33,18 @@
 // progress is the drain state of a backend server across the fleet.
 type progress struct {
 	Backend string `json:"backend"`
-	// Safe is set if every router responded and none of them has running requests or
-	// leases on the backend server, or may still start requests there.
+	// Safe is set if every router responded, none has running requests or leases on the
+	// backend server, and none may still start requests there.
 	Safe    bool `json:"safe_to_stop"`
 	Running int  `json:"running"`
 	Leases  int  `json:"leases"`
 	// OldestMillis is the age of the oldest running request.
 	OldestMillis int64 `json:"oldest_ms"`
-	// Open lists the routers whose table does not mark the backend server as leaving or
+	// Unmarked lists the routers whose table does not mark the backend server as leaving or
 	// stopping.
-	Open []string `json:"mark_not_in_force_on"`
-	// Missing lists the routers that did not respond.
-	Missing []string `json:"no_answer_from"`
+	Unmarked []string `json:"mark_not_in_force_on"`
+	// Unreachable lists the routers that did not respond.
+	Unreachable []string `json:"no_answer_from"`
 }
 
 var errUnknownBackend = errors.New("no router's table lists this backend server; check the name")
@@ -55,7 +55,7 @@
 		return err
 	}
 	p, found := drainProgress(drainArgs.name, fleet.Query[router.Status](client, routers, admin.PathStatus))
-	if !found && len(p.Missing) == 0 {
+	if !found && len(p.Unreachable) == 0 {
 		return errUnknownBackend
 	}
 	if drainArgs.json {
@@ -73,7 +73,7 @@
 	p.Backend = name
 	for _, resp := range responses {
 		if resp.Error != "" {
-			p.Missing = append(p.Missing, resp.Router.Name)
+			p.Unreachable = append(p.Unreachable, resp.Router.Name)
 			continue
 		}
 		backend, listed := resp.Value.Backends[name]
@@ -82,10 +82,10 @@
 		p.Leases += backend.Leases
 		p.OldestMillis = max(p.OldestMillis, backend.OldestMillis)
 		if listed && backend.Mark != "leaving" && backend.Mark != "stopping" {
-			p.Open = append(p.Open, resp.Value.Name)
+			p.Unmarked = append(p.Unmarked, resp.Value.Name)
 		}
 	}
-	p.Safe = found && p.Running == 0 && p.Leases == 0 && len(p.Open) == 0 && len(p.Missing) == 0
+	p.Safe = found && p.Running == 0 && p.Leases == 0 && len(p.Unmarked) == 0 && len(p.Unreachable) == 0
 	return p, found
 }
 
@@ -98,7 +98,7 @@
 	for _, group := range []struct {
 		title string
 		names []string
-	}{{"not marked leaving or stopping in the table of", p.Open}, {"no answer from", p.Missing}} {
+	}{{"not marked leaving or stopping in the table of", p.Unmarked}, {"no answer from", p.Unreachable}} {
 		if len(group.names) > 0 {
 			_, _ = fmt.Fprintf(c.Out, "%s: %s\n", group.title, strings.Join(group.names, ", "))
 		}
--- a/cmd/yarrowctl/yarrowctl_test.go
+++ b/cmd/yarrowctl/yarrowctl_test.go
@@ -38,9 +38,9 @@
 		"one has a lease": {[]fleet.Response[router.Status]{response("a", "leaving", 0, 1)},
 			progress{Backend: "form-1", Leases: 1}},
 		"mark missing on one": {[]fleet.Response[router.Status]{response("a", "serving", 0, 0)},
-			progress{Backend: "form-1", Open: []string{"a"}}},
+			progress{Backend: "form-1", Unmarked: []string{"a"}}},
 		"one unreachable": {[]fleet.Response[router.Status]{response("a", "leaving", 0, 0), unreachable("b")},
-			progress{Backend: "form-1", Missing: []string{"b"}}},
+			progress{Backend: "form-1", Unreachable: []string{"b"}}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
