--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,5 +1,5 @@
-// Package platform reads what the platform publishes: named values with
-// revisions, and the lagging list of instances. It never writes anything.
+// Package platform is a read-only client of the platform: it reads named values with
+// revisions and the list of instances, which may lag behind.
 package platform
 
 import (
@@ -15,26 +15,25 @@
 	"github.com/dghubble/sling"
 )
 
-// Bounds of a read.
 const (
-	// MaxValueSize is the largest value the platform holds, in bytes.
+	// MaxValueSize is the largest accepted size of a value in bytes.
 	MaxValueSize = 1 << 20
-	// WatchTimeout is how long a watch waits for news.
+	// WatchTimeout is how long a watch waits for a newer revision.
 	WatchTimeout = 20 * time.Second
-	// readTimeout is how much longer than it should a read may take.
+	// readTimeout bounds a request apart from the wait time of a watch.
 	readTimeout = 3 * time.Second
-	// RevisionHeader is the response header with a value's revision.
+	// RevisionHeader is the response header that holds the revision of a value.
 	RevisionHeader = "Revision"
 )
 
 // Value is one version of a named value.
 type Value struct {
-	// Revision only grows at the platform, but a stale read may be lower.
+	// Revision never decreases at the platform, but a stale read may return an older one.
 	Revision uint64
 	Data     []byte
 }
 
-// Instance is one router on the platform's list.
+// Instance is a router in the list of instances.
 type Instance struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
@@ -46,16 +45,16 @@
 	State string `json:"state"`
 }
 
-// Live is the state of an instance that is not about to stop.
+// Live is the state of an instance that is not shutting down.
 const Live = "live"
 
-// Instances is one version of the list.
+// Instances is a revision of the list of instances.
 type Instances struct {
 	Revision  uint64     `json:"revision"`
 	Instances []Instance `json:"instances"`
 }
 
-// Client reads from the platform.
+// Client reads from the platform over HTTP.
 type Client struct {
 	base  string
 	http  *http.Client
@@ -64,7 +63,7 @@
 
 type options struct{ transport http.RoundTripper }
 
-// Option changes a new Client.
+// Option configures a Client.
 type Option func(*options)
 
 // WithTransport replaces the HTTP transport.
@@ -72,7 +71,7 @@
 	return func(o *options) { o.transport = t }
 }
 
-// New returns a client of the platform at an IP number and port.
+// New returns a client of the platform at an IP address and port.
 func New(address string, opts ...Option) *Client {
 	o := options{transport: http.DefaultTransport}
 	for _, f := range opts {
@@ -81,7 +80,7 @@
 	return &Client{base: "http://" + address + "/", http: &http.Client{Transport: o.transport}}
 }
 
-// Calls returns how many calls were made; a waiting watch counts as one.
+// Calls returns the number of HTTP requests made.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
 type watchParams struct {
@@ -90,48 +89,48 @@
 }
 
 // Watch waits until the named value has a revision above after and returns
-// it. ok is false if there was no news.
+// it. ok is false if there is none within WatchTimeout.
 func (c *Client) Watch(ctx context.Context, name string, after uint64) (v Value, ok bool, err error) {
-	data, rev, err := c.get(ctx, "v1/values/"+name, after, wait(after))
+	data, rev, err := c.get(ctx, "v1/values/"+name, after, watchWait(after))
 	if err != nil || data == nil {
 		return Value{}, false, err
 	}
 	return Value{Revision: rev, Data: data}, true, nil
 }
 
-// GetIfNewer returns the named value if its revision is above after, and does not wait for news.
+// GetIfNewer returns the named value if its revision is above after, without waiting.
 func (c *Client) GetIfNewer(ctx context.Context, name string, after uint64) (v Value, ok bool, err error) {
-	data, rev, err := c.get(ctx, "v1/values/"+name, after, noWait(after))
+	data, rev, err := c.get(ctx, "v1/values/"+name, after, minWait(after))
 	if err != nil || data == nil {
 		return Value{}, false, err
 	}
 	return Value{Revision: rev, Data: data}, true, nil
 }
 
-// noWait is the shortest time that a read which names a revision may wait: without any the
-// platform answers with the value as it is.
-func noWait(after uint64) time.Duration {
+// minWait returns the shortest wait time for a conditional read. With a wait time of 0 the
+// platform would return the value whatever its revision.
+func minWait(after uint64) time.Duration {
 	if after == 0 {
 		return 0
 	}
 	return time.Millisecond
 }
 
-// WatchInstances is Watch for the list of instances.
+// WatchInstances waits until the list of instances has a revision above after, as Watch does.
 func (c *Client) WatchInstances(ctx context.Context, after uint64) (list Instances, ok bool, err error) {
-	data, rev, err := c.get(ctx, "v1/instances", after, wait(after))
+	data, rev, err := c.get(ctx, "v1/instances", after, watchWait(after))
 	if err != nil || data == nil {
 		return Instances{}, false, err
 	}
 	if err := json.Unmarshal(data, &list); err != nil {
-		return Instances{}, false, fmt.Errorf("platform: instances: %w", err)
+		return Instances{}, false, fmt.Errorf("platform: decode instances: %w", err)
 	}
 	list.Revision = rev
 	return list, true, nil
 }
 
-// wait is none for a first read, which is answered at once.
-func wait(after uint64) time.Duration {
+// watchWait returns the wait time of a watch, 0 for a first read.
+func watchWait(after uint64) time.Duration {
 	if after == 0 {
 		return 0
 	}
@@ -144,7 +143,7 @@
 	req, err := sling.New().Get(c.base + path).
 		QueryStruct(&watchParams{After: after, WaitMS: wait.Milliseconds()}).Request()
 	if err != nil {
-		return nil, 0, fmt.Errorf("platform: request %s: %w", path, err)
+		return nil, 0, fmt.Errorf("platform: build request for %s: %w", path, err)
 	}
 	c.calls.Add(1)
 	resp, err := c.http.Do(req.WithContext(ctx))
@@ -164,11 +163,11 @@
 		return nil, 0, fmt.Errorf("platform: read %s: %w", path, err)
 	}
 	if len(data) > MaxValueSize {
-		return nil, 0, fmt.Errorf("platform: read %s: value is over %d bytes", path, MaxValueSize)
+		return nil, 0, fmt.Errorf("platform: read %s: value exceeds %d bytes", path, MaxValueSize)
 	}
 	rev, err := strconv.ParseUint(resp.Header.Get(RevisionHeader), 10, 64)
 	if err != nil {
-		return nil, 0, fmt.Errorf("platform: read %s: revision: %w", path, err)
+		return nil, 0, fmt.Errorf("platform: read %s: invalid revision: %w", path, err)
 	}
 	return data, rev, nil
 }
--- a/internal/values/source.go
+++ b/internal/values/source.go
@@ -1,5 +1,5 @@
-// Package values makes the platform's named values and its list of instances what a
-// dispatcher follows: the operators' table is one value, split into pages where it is large.
+// Package values implements dispatch.Source on the platform's named values. The table is
+// one value, which may be an index of further values if the table is split into pages.
 package values
 
 import (
@@ -18,46 +18,47 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// TableName is the platform's name of the table's value.
+// TableName is the name of the value that holds the table.
 const TableName = "table"
 
-// errPagesAhead says that a page was read that the index does not list yet.
-var errPagesAhead = errors.New("values: a page of the table is not at the revision that the index lists")
+// errPageMismatch reports a page whose revision differs from the one in the index, as
+// happens while the table is being edited.
+var errPageMismatch = errors.New("values: a page of the table does not have the revision given in the index")
 
-// Client reads values.
+// Client reads values and the list of instances. platform.Client implements it.
 type Client interface {
-	// Watch waits until a value has a revision above after, for a while at most.
+	// Watch waits for a limited time until a value has a revision above after.
 	Watch(ctx context.Context, name string, after uint64) (platform.Value, bool, error)
-	// GetIfNewer returns a value if its revision is above after, and does not wait.
+	// GetIfNewer returns a value if its revision is above after, without waiting.
 	GetIfNewer(ctx context.Context, name string, after uint64) (platform.Value, bool, error)
 	WatchInstances(ctx context.Context, after uint64) (platform.Instances, bool, error)
 	Calls() int64
 }
 
-// Source is the platform as a dispatcher reads it.
+// Source reads the table and the list of instances.
 type Source struct {
 	client Client
 
 	mu sync.Mutex
-	// newest is the last version of the table that was read.
+	// newest is the highest revision of the table read so far.
 	newest uint64
-	// kept are the pages that were read last, by name.
-	kept map[string]platform.Value
+	// pages caches the last revision read of each page by name.
+	pages map[string]platform.Value
 }
 
-// New returns a source that reads by a client.
-func New(c Client) *Source { return &Source{client: c, kept: map[string]platform.Value{}} }
+// New returns a source that reads through a client.
+func New(c Client) *Source { return &Source{client: c, pages: map[string]platform.Value{}} }
 
-// Read returns the table as it is now.
+// Read returns the current table.
 func (s *Source) Read(ctx context.Context) (catalog.Update, error) {
 	v, ok, err := s.client.GetIfNewer(ctx, TableName, 0)
 	if err != nil || !ok {
 		return catalog.Update{}, err
 	}
-	return s.news(ctx, 0, v)
+	return s.update(ctx, 0, v)
 }
 
-// Watch waits for a version of the table after a revision.
+// Watch waits for a revision of the table above the given one.
 func (s *Source) Watch(ctx context.Context, after catalog.Revision, _ time.Duration) (catalog.Update, error) {
 	v, ok, err := s.client.Watch(ctx, TableName, after.Number)
 	if err != nil {
@@ -66,10 +67,10 @@
 	if !ok || v.Revision <= after.Number {
 		return catalog.Update{After: after.Number, AsOf: after.Number}, nil
 	}
-	return s.news(ctx, after.Number, v)
+	return s.update(ctx, after.Number, v)
 }
 
-// Revision returns the revision of the table as it is now.
+// Revision returns the current revision of the table.
 func (s *Source) Revision(ctx context.Context) (catalog.Revision, error) {
 	s.mu.Lock()
 	newest := s.newest
@@ -81,37 +82,37 @@
 	return catalog.Revision{Number: v.Revision}, nil
 }
 
-// Instances waits for a list of instances after a revision.
+// Instances waits for a revision of the list of instances above the given one.
 func (s *Source) Instances(ctx context.Context, after uint64) (platform.Instances, bool, error) {
 	return s.client.WatchInstances(ctx, after)
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls made by the client.
 func (s *Source) Calls() int64 { return s.client.Calls() }
 
-// news turns the table's value into news. A table with errors stays out of force, and the
-// news say why; only a page that could not be read as listed is an error.
-func (s *Source) news(ctx context.Context, after uint64, v platform.Value) (catalog.Update, error) {
-	n := catalog.Update{After: after, AsOf: v.Revision}
+// update converts the value of the table to an update. An invalid table is reported in
+// Skipped; update returns an error only if a page does not match the index.
+func (s *Source) update(ctx context.Context, after uint64, v platform.Value) (catalog.Update, error) {
+	u := catalog.Update{After: after, AsOf: v.Revision}
 	t, err := s.parse(ctx, v)
 	switch {
-	case errors.Is(err, errPagesAhead):
+	case errors.Is(err, errPageMismatch):
 		return catalog.Update{}, err
 	case err != nil:
-		n.Skipped = []catalog.Skipped{{Key: TableName, Revision: v.Revision, Unusable: catalog.Unusable{Reason: catalog.BadValue, Field: err.Error()}}}
+		u.Skipped = []catalog.Skipped{{Key: TableName, Revision: v.Revision, Unusable: catalog.Unusable{Reason: catalog.BadValue, Field: err.Error()}}}
 	default:
 		t.Revision = v.Revision
-		n.Table = t
+		u.Table = t
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.newest = max(s.newest, v.Revision)
-	return n, nil
+	return u, nil
 }
 
-// pageIndex is the table's value where the table is split into pages: it lists each page's
-// value with its revision. The index's own revision is the table's, so an edit is a new page
-// and then a new index.
+// pageIndex is the value of a table that is split into pages. It maps the name of each
+// page's value to its revision. The revision of the index is the revision of the table: an
+// edit first writes the page, then the index.
 type pageIndex struct {
 	Pages map[string]uint64 `yaml:"pages"`
 }
@@ -121,34 +122,34 @@
 	if err := yaml.Unmarshal(v.Data, &index); err != nil || len(index.Pages) == 0 {
 		return table.Parse(TableName, v.Data)
 	}
-	var list []table.Page
+	var pages []table.Page
 	for _, name := range slices.Sorted(maps.Keys(index.Pages)) {
 		page, err := s.page(ctx, name, index.Pages[name])
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, table.Page{Name: name, Data: page.Data})
+		pages = append(pages, table.Page{Name: name, Data: page.Data})
 	}
-	return table.ParsePages(list)
+	return table.ParsePages(pages)
 }
 
-// page returns a page at a revision, as it was read before or as it is now.
+// page returns a page at the given revision, from the cache if possible.
 func (s *Source) page(ctx context.Context, name string, revision uint64) (platform.Value, error) {
 	s.mu.Lock()
-	kept, ok := s.kept[name]
+	cached, ok := s.pages[name]
 	s.mu.Unlock()
-	if ok && kept.Revision == revision {
-		return kept, nil
+	if ok && cached.Revision == revision {
+		return cached, nil
 	}
 	v, ok, err := s.client.GetIfNewer(ctx, name, 0)
 	if err != nil {
-		return platform.Value{}, errors.Join(errPagesAhead, err)
+		return platform.Value{}, errors.Join(errPageMismatch, err)
 	}
 	if !ok || v.Revision != revision {
-		return platform.Value{}, fmt.Errorf("%w: %s is at %d, not %d", errPagesAhead, name, v.Revision, revision)
+		return platform.Value{}, fmt.Errorf("%w: %s has revision %d, want %d", errPageMismatch, name, v.Revision, revision)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.kept[name] = v
+	s.pages[name] = v
 	return v, nil
 }
--- a/internal/values/source_test.go
+++ b/internal/values/source_test.go
@@ -11,75 +11,77 @@
 	"github.com/yarrowmast/yarrowmast/pkg/catalog"
 )
 
-// valuesOnly is a platform that holds values and counts the reads of each.
-type valuesOnly struct {
+// fakeClient serves values from memory and counts the reads of each.
+type fakeClient struct {
 	values map[string]platform.Value
 	reads  map[string]int
 }
 
-func (p *valuesOnly) GetIfNewer(_ context.Context, name string, after uint64) (platform.Value, bool, error) {
-	p.reads[name]++
-	v, ok := p.values[name]
+func (c *fakeClient) GetIfNewer(_ context.Context, name string, after uint64) (platform.Value, bool, error) {
+	c.reads[name]++
+	v, ok := c.values[name]
 	return v, ok && v.Revision > after, nil
 }
 
-func (p *valuesOnly) Watch(ctx context.Context, name string, after uint64) (platform.Value, bool, error) {
-	return p.GetIfNewer(ctx, name, after)
+func (c *fakeClient) Watch(ctx context.Context, name string, after uint64) (platform.Value, bool, error) {
+	return c.GetIfNewer(ctx, name, after)
 }
 
-func (p *valuesOnly) WatchInstances(context.Context, uint64) (platform.Instances, bool, error) {
+func (c *fakeClient) WatchInstances(context.Context, uint64) (platform.Instances, bool, error) {
 	return platform.Instances{}, false, nil
 }
 
-func (p *valuesOnly) Calls() int64 { return 0 }
+func (c *fakeClient) Calls() int64 { return 0 }
 
 func account(name string, n int) []byte {
 	return fmt.Appendf(nil, "accounts: [{name: %s, weight: 1, key_sha256: %q}]", name, fmt.Sprintf("%064x", n))
 }
 
-func TestPagesOfTheTable(t *testing.T) {
-	p := &valuesOnly{reads: map[string]int{}, values: map[string]platform.Value{
+// TestTablePages checks that only changed pages are read again, and that mismatched pages
+// and invalid tables are not applied.
+func TestTablePages(t *testing.T) {
+	c := &fakeClient{reads: map[string]int{}, values: map[string]platform.Value{
 		"one": {Revision: 4, Data: account("moka", 1)},
 		"two": {Revision: 7, Data: account("savanne", 2)},
 	}}
-	s := New(p)
+	s := New(c)
 	index := func(rev, one, two uint64) {
-		p.values[TableName] = platform.Value{Revision: rev, Data: fmt.Appendf(nil, "pages: {one: %d, two: %d}", one, two)}
+		c.values[TableName] = platform.Value{Revision: rev, Data: fmt.Appendf(nil, "pages: {one: %d, two: %d}", one, two)}
 	}
 	index(10, 4, 7)
 	got, err := s.Read(context.Background())
 	if err != nil || len(got.Skipped) > 0 || len(got.Table.Accounts) != 2 || got.Table.Revision != 10 {
-		t.Fatalf("news %+v, %v", got, err)
+		t.Fatalf("update %+v, %v", got, err)
 	}
-	p.values["two"] = platform.Value{Revision: 8, Data: account("savanne", 3)}
+	c.values["two"] = platform.Value{Revision: 8, Data: account("savanne", 3)}
 	index(11, 4, 8)
 	if got, err = s.Watch(context.Background(), catalog.Revision{Number: 10}, 0); err != nil || got.Table == nil || got.After != 10 || got.AsOf != 11 {
-		t.Fatalf("news %+v, %v", got, err)
+		t.Fatalf("update %+v, %v", got, err)
 	}
-	if p.reads["one"] != 1 || p.reads["two"] != 2 {
-		t.Errorf("reads %v: a page that did not change was read again", p.reads)
+	if c.reads["one"] != 1 || c.reads["two"] != 2 {
+		t.Errorf("reads %v: an unchanged page was read again", c.reads)
 	}
 	index(12, 4, 9)
-	if _, err = s.Watch(context.Background(), catalog.Revision{Number: 11}, 0); !errors.Is(err, errPagesAhead) {
-		t.Errorf("a page at another revision was taken: %v", err)
+	if _, err = s.Watch(context.Background(), catalog.Revision{Number: 11}, 0); !errors.Is(err, errPageMismatch) {
+		t.Errorf("a page with another revision than in the index was accepted: %v", err)
 	}
-	p.values["two"] = platform.Value{Revision: 9, Data: account("moka", 4)}
+	c.values["two"] = platform.Value{Revision: 9, Data: account("moka", 4)}
 	got, err = s.Watch(context.Background(), catalog.Revision{Number: 11}, 0)
 	if err != nil || got.Table != nil || len(got.Skipped) != 1 || !strings.Contains(got.Skipped[0].Unusable.Field, "two:1: accounts[0].name") {
-		t.Errorf("an account on two pages was taken: %+v, %v", got, err)
+		t.Errorf("an account on two pages was accepted: %+v, %v", got, err)
 	}
 	if got.AsOf != 12 {
-		t.Errorf("a table with errors is read up to %d, want 12: it would be read again without end", got.AsOf)
+		t.Errorf("an invalid table left AsOf at %d, want 12: it would be read again endlessly", got.AsOf)
 	}
 	if rev, err := s.Revision(context.Background()); err != nil || rev.Number != 12 {
 		t.Errorf("revision %v, %v", rev, err)
 	}
 }
 
-func TestNoNews(t *testing.T) {
-	p := &valuesOnly{reads: map[string]int{}, values: map[string]platform.Value{TableName: {Revision: 3, Data: account("moka", 1)}}}
-	got, err := New(p).Watch(context.Background(), catalog.Revision{Number: 3}, 0)
+func TestWatchWithoutChange(t *testing.T) {
+	c := &fakeClient{reads: map[string]int{}, values: map[string]platform.Value{TableName: {Revision: 3, Data: account("moka", 1)}}}
+	got, err := New(c).Watch(context.Background(), catalog.Revision{Number: 3}, 0)
 	if err != nil || got.Table != nil || got.After != 3 || got.AsOf != 3 {
-		t.Errorf("news %+v, %v", got, err)
+		t.Errorf("update %+v, %v", got, err)
 	}
 }
