--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -13,90 +13,87 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// errDraining is a refusal that has not run.
 var errDraining = verdict.New(verdict.PhaseAdmit, http.StatusServiceUnavailable, "draining",
 	"this entry instance is stopping; send the request again")
 
-var errGone = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "stopping", "this entry instance is stopping; send the request again")
+var errStopping = verdict.New(verdict.PhaseQueue, http.StatusServiceUnavailable, "stopping", "this entry instance is stopping; send the request again")
 
-// decision is what became of an attempt.
+// decision is the outcome of an attempt.
 type decision struct {
-	id     uint64
-	start  admit.Start
-	err    *verdict.Error
-	waited time.Duration
-	// at is when it was taken.
-	at time.Duration
-	// served counts its tokens, where it was started.
-	served *atomic.Int64
+	id        uint64
+	start     admit.Start
+	err       *verdict.Error
+	waited    time.Duration
+	decidedAt time.Duration
+	// tokens counts the tokens of a started request.
+	tokens *atomic.Int64
 }
 
-// attempt is a request that a caller's task waits for.
+// attempt is a request that waits for a decision.
 type attempt struct {
 	request front.Request
-	// digest identifies the request, 0 if nobody can.
-	digest suspect.Digest
-	at     time.Time
-	answer chan decision
+	// digest identifies the request across attempts, 0 if unknown.
+	digest    suspect.Digest
+	arrivedAt time.Time
+	result    chan decision
 }
 
 // Acquire implements front.Scheduler.
 func (d *Dispatcher) Acquire(ctx context.Context, r front.Request) (front.Grant, error) {
-	a := &attempt{request: r, at: d.opt.clock.Now(), answer: make(chan decision, 1)}
-	// Always: a backend server may end under another try while this one waits.
+	a := &attempt{request: r, arrivedAt: d.opt.clock.Now(), result: make(chan decision, 1)}
+	// The digest is needed even for first attempts: a backend server may crash under
+	// another attempt of the same request while this one waits.
 	if r.Digest != nil {
 		a.digest = suspect.Digest(r.Digest())
 	}
-	if !d.post(arrive{a}) {
-		return front.Grant{}, errGone
+	if !d.post(arriveEvent{a}) {
+		return front.Grant{}, errStopping
 	}
 	select {
-	case got := <-a.answer:
-		return d.grant(r, got)
+	case dec := <-a.result:
+		return d.grant(r, dec)
 	case <-ctx.Done():
-		d.post(abandon{a})
+		d.post(cancelEvent{a})
 		return front.Grant{}, ctx.Err()
 	case <-d.ctx.Done():
-		return front.Grant{}, errGone
+		return front.Grant{}, errStopping
 	}
 }
 
-func (d *Dispatcher) grant(r front.Request, got decision) (front.Grant, error) {
-	if got.err != nil {
-		return front.Grant{}, got.err
+func (d *Dispatcher) grant(r front.Request, dec decision) (front.Grant, error) {
+	if dec.err != nil {
+		return front.Grant{}, dec.err
 	}
 	return front.Grant{
-		ID: got.id, Backend: got.start.Backend.Name, Address: got.start.Backend.Address, StartTime: got.start.Backend.Born, Reason: got.start.Reason,
-		CopyPrefixFrom: got.start.FetchFrom, MaxConnections: d.connectionsPart(r.Model),
-		TokensAhead: got.start.TokensAhead, ExpectedFirstEvent: got.start.ExpectedDelay, Running: got.start.Running,
-		Served: got.served, Waited: r.Waited + got.waited,
-		OnFirstEvent: func() { d.post(began{got.id}) },
-		OnNotice:     func(w backend.Notice) { d.post(said{got.id, w}) },
+		ID: dec.id, Backend: dec.start.Backend.Name, Address: dec.start.Backend.Address, StartTime: dec.start.Backend.StartTime, Reason: dec.start.Reason,
+		CopyPrefixFrom: dec.start.FetchFrom, MaxConnections: d.connectionShare(r.Model),
+		TokensAhead: dec.start.TokensAhead, ExpectedFirstEvent: dec.start.ExpectedDelay, Running: dec.start.Running,
+		Served: dec.tokens, Waited: r.Waited + dec.waited,
+		OnFirstEvent: func() { d.post(firstOutputEvent{dec.id}) },
+		OnNotice:     func(w backend.Notice) { d.post(noticeEvent{dec.id, w}) },
 		Saturated:    d.Saturated,
-		// A router that stood still for longer has lost its place to another.
-		MayStart: func() bool { return d.now()-got.at < d.startWithin() },
+		// After a longer pause the owner may have granted the slot to another request.
+		MayStart: func() bool { return d.now()-dec.decidedAt < d.startTimeout() },
 	}, nil
 }
 
-// startWithin is how long a place may be used after it was given.
-func (d *Dispatcher) startWithin() time.Duration {
-	if d.opt.weights {
+// startTimeout returns how long after its decision a request may still be sent.
+func (d *Dispatcher) startTimeout() time.Duration {
+	if d.opt.weighted {
 		return admit.GrantTTL
 	}
 	return admit.AttemptTTL
 }
 
-// restingPart of the connections that a backend server takes is divided among the
-// routers; the rest is for those that carry requests, of which one router may have
-// many while others have none.
-const restingPart = 0.5
+// evenConnectionFraction is the fraction of a backend server's connection limit that is divided
+// evenly among the routers. The rest is left for requests in flight, which may be spread
+// unevenly.
+const evenConnectionFraction = 0.5
 
-// connectionsPart returns this router's part of the connections that each backend
-// server of a service takes, 0 if the table does not say how many these are. Routers
-// that each kept what they opened had 1.5 times as many as three plain backend servers
-// take (430) at 62 routers and 300 requests a second, and the rest were reset with
-// requests on them: 774 to 1,379 of 13,600 a day.
-func (d *Dispatcher) connectionsPart(service string) int {
+// connectionShare returns this router's share of the connections to each backend server of a
+// service, 0 if the table states no limit. Idle connections beyond the share are closed, since
+// those of many routers would exceed the limit.
+func (d *Dispatcher) connectionShare(service string) int {
 	t := d.Table()
 	if t == nil {
 		return 0
@@ -105,26 +102,26 @@
 	if !ok || row.MaxConnections <= 0 {
 		return 0
 	}
-	routers := max(1, d.shared.routers.Load())
-	return max(1, int(restingPart*float64(row.MaxConnections)/float64(routers)))
+	routers := max(1, d.shared.routerCount.Load())
+	return max(1, int(evenConnectionFraction*float64(row.MaxConnections)/float64(routers)))
 }
 
 // Release implements front.Scheduler.
 func (d *Dispatcher) Release(g front.Grant, u front.Usage) {
-	e := ended{id: g.ID, tokens: u.Tokens, result: resultOf(u), request: u.Request, cut: wasCut(u), whole: u.Error == nil && u.Status < http.StatusInternalServerError}
+	e := endEvent{id: g.ID, tokens: u.Tokens, result: resultOf(u), request: u.Request, disconnected: wasDisconnected(u), completed: u.Error == nil && u.Status < http.StatusInternalServerError}
 	if u.Digest != nil {
 		e.digest = suspect.Digest(u.Digest())
 	}
 	d.post(e)
 }
 
-// wasCut reports whether the backend server broke off while the request was under way
-// there. One that falls silent may only be slow, as all are where a machine has no time.
-func wasCut(u front.Usage) bool {
+// wasDisconnected reports whether the backend server closed the connection while the request
+// was in flight. A stalled server does not count: it may only be slow.
+func wasDisconnected(u front.Usage) bool {
 	return u.Error != nil && u.Sent && !u.Stalled && (u.Error.Code == "answer-cut" || u.Error.Code == "backend-broke")
 }
 
-// resultOf tells what an attempt's end says of the backend server.
+// resultOf classifies the outcome of an attempt with respect to the backend server.
 func resultOf(u front.Usage) admit.Result {
 	switch {
 	case u.Error == nil && u.Status >= http.StatusInternalServerError:
@@ -153,7 +150,7 @@
 // SpendRetry implements front.Scheduler.
 func (d *Dispatcher) SpendRetry(r front.Request) bool {
 	answer := make(chan bool, 1)
-	if !d.post(spend{r.Model, answer}) {
+	if !d.post(retryEvent{r.Model, answer}) {
 		return false
 	}
 	select {
@@ -164,23 +161,23 @@
 	}
 }
 
-type spend struct {
+type retryEvent struct {
 	service string
 	answer  chan<- bool
 }
 
-func (e spend) apply(s *state) {
-	routers := s.roster.CountRecent(s.now, s.rule.Window)
+func (e retryEvent) apply(s *state) {
+	routers := s.roster.CountRecent(s.now, s.retryRule.Window)
 	e.answer <- s.allowance.Spend(s.now, e.service, routers)
 }
 
-type arrive struct{ *attempt }
+type arriveEvent struct{ *attempt }
 
-func (e arrive) apply(s *state) {
+func (e arriveEvent) apply(s *state) {
 	s.nextID++
 	id := s.nextID
 	s.waiting[id] = e.attempt
-	if s.d.opt.weights && s.d.Draining() {
+	if s.d.opt.weighted && s.d.Draining() {
 		s.reply(id, decision{err: errDraining.WithRetryAfter(time.Second)})
 		return
 	}
@@ -191,27 +188,27 @@
 	s.step(admit.Arrive{Request: admit.Request{
 		ID: id, Service: r.Model, Account: r.Account, AccountRank: r.AccountRank, Rank: r.Rank, Prefix: r.Prefix,
 		Prompt: r.Prompt, Shared: r.Shared, Output: r.Output, Target: r.Target, MaxWait: r.MaxWait,
-		Deadline: s.now + r.Deadline.Sub(e.at), Retry: r.Attempt > 0, MayHaveRun: r.MayHaveRun, Avoid: r.Avoid,
+		Deadline: s.now + r.Deadline.Sub(e.arrivedAt), Retry: r.Attempt > 0, MayHaveRun: r.MayHaveRun, Avoid: r.Avoid,
 		Resuming: r.Resuming, Digest: e.digest, Priority: r.Priority,
 	}})
 }
 
-// reply tells the caller's task of the decision.
-func (s *state) reply(id uint64, got decision) {
+// reply sends a decision to the waiting caller.
+func (s *state) reply(id uint64, dec decision) {
 	a, ok := s.waiting[id]
 	if !ok {
 		return
 	}
 	delete(s.waiting, id)
-	got.id, got.at = id, s.now
-	a.answer <- got
+	dec.id, dec.decidedAt = id, s.now
+	a.result <- dec
 }
 
-// abandon takes back an attempt whose caller has left: it still waits, or it
-// was started a moment ago and will not be sent.
-type abandon struct{ *attempt }
+// cancelEvent cancels an attempt whose client disconnected, whether it still waits or was just
+// granted a slot.
+type cancelEvent struct{ *attempt }
 
-func (e abandon) apply(s *state) {
+func (e cancelEvent) apply(s *state) {
 	for id, a := range s.waiting {
 		if a == e.attempt {
 			delete(s.waiting, id)
@@ -220,18 +217,18 @@
 		}
 	}
 	select {
-	case got := <-e.answer:
-		delete(s.served, got.id)
-		s.step(admit.Cancel{ID: got.id})
+	case dec := <-e.result:
+		delete(s.tokenCounts, dec.id)
+		s.step(admit.Cancel{ID: dec.id})
 	default:
 	}
 }
 
-// drained has what waits refused: the router takes nothing more.
-type drained struct{}
+// drainEvent refuses all waiting requests, if accounts are served by weights.
+type drainEvent struct{}
 
-func (drained) apply(s *state) {
-	if !s.d.opt.weights {
+func (drainEvent) apply(s *state) {
+	if !s.d.opt.weighted {
 		return
 	}
 	for id := range s.waiting {
@@ -240,44 +237,41 @@
 	}
 }
 
-type began struct{ id uint64 }
+type firstOutputEvent struct{ id uint64 }
 
-func (e began) apply(s *state) { s.step(admit.FirstEvent{ID: e.id}) }
+func (e firstOutputEvent) apply(s *state) { s.step(admit.FirstEvent{ID: e.id}) }
 
-type said struct {
-	id   uint64
-	word backend.Notice
+type noticeEvent struct {
+	id     uint64
+	notice backend.Notice
 }
 
-func (e said) apply(s *state) {
-	s.step(admit.BackendNotice{ID: e.id, Leaving: e.word.Leaving, Backoff: e.word.RetryAfter})
+func (e noticeEvent) apply(s *state) {
+	s.step(admit.BackendNotice{ID: e.id, Leaving: e.notice.Leaving, Backoff: e.notice.RetryAfter})
 }
 
-type ended struct {
+type endEvent struct {
 	id     uint64
 	result admit.Result
-	// request is the caller's id of the request, digest identifies it whichever try it
-	// is, 0 if nobody can.
-	request    string
-	digest     suspect.Digest
-	cut, whole bool
-	// tokens is what it has used.
-	tokens int64
+	// request is the request's id, digest identifies it across attempts, 0 if unknown.
+	request                 string
+	digest                  suspect.Digest
+	disconnected, completed bool
+	tokens                  int64
 }
 
-func (e ended) apply(s *state) {
-	result := blamed(e.result, s.d.Saturated())
-	s.ending = e.request
-	delete(s.served, e.id)
-	s.step(admit.AttemptEnd{ID: e.id, Tokens: e.tokens, Result: result, Digest: e.digest, Disconnected: e.cut && result != admit.Unknown, Completed: e.whole})
-	s.ending = ""
+func (e endEvent) apply(s *state) {
+	result := adjustResult(e.result, s.d.Saturated())
+	s.endingRequest = e.request
+	delete(s.tokenCounts, e.id)
+	s.step(admit.AttemptEnd{ID: e.id, Tokens: e.tokens, Result: result, Digest: e.digest, Disconnected: e.disconnected && result != admit.Unknown, Completed: e.completed})
+	s.endingRequest = ""
 }
 
-// blamed is what an attempt's end says of the backend server, told by a router that is
-// hurried or not: one that cannot keep up hears late of everything, so that a silence may
-// be its own.
-func blamed(result admit.Result, hurried bool) admit.Result {
-	if hurried && (result == admit.Stalled || result == admit.Unreachable) {
+// adjustResult discards stalls and connection failures while this router is saturated, since
+// its own delay may have caused them.
+func adjustResult(result admit.Result, saturated bool) admit.Result {
+	if saturated && (result == admit.Stalled || result == admit.Unreachable) {
 		return admit.Unknown
 	}
 	return result
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch is the task around the decisions of package admit: it
-// follows the platform, hears other routers, and answers the callers' side.
+// Package dispatch runs the scheduler of package admit in a router. It reads the platform,
+// exchanges messages with other routers and implements front.Scheduler.
 package dispatch
 
 import (
@@ -20,21 +20,21 @@
 )
 
 const (
-	// tickEvery is the interval of the core's own clock, busyTick while
-	// something waits.
-	tickEvery = 50 * time.Millisecond
-	busyTick  = 10 * time.Millisecond
-	inboxSize = 4096
+	// The core receives ticks every tickInterval, and every busyTickInterval while requests
+	// wait.
+	tickInterval     = 50 * time.Millisecond
+	busyTickInterval = 10 * time.Millisecond
+	inboxSize        = 4096
 )
 
-// Source is the platform as a router reads it.
+// Source reads what the platform publishes.
 type Source interface {
-	// Read reads everything as it is now.
+	// Read returns everything that is published.
 	Read(ctx context.Context) (catalog.Update, error)
-	// Watch waits for changes after a revision. Its error is
-	// catalog.ErrCompacted if the platform does not remember them.
+	// Watch waits for changes after a revision. It returns catalog.ErrCompacted if the
+	// platform no longer keeps them.
 	Watch(ctx context.Context, after catalog.Revision, wait time.Duration) (catalog.Update, error)
-	// Revision returns the platform's revision as it is now.
+	// Revision returns the platform's current revision.
 	Revision(ctx context.Context) (catalog.Revision, error)
 }
 
@@ -44,20 +44,19 @@
 	// SetIncarnation changes the incarnation number sent to peers.
 	SetIncarnation(inc uint64)
 	Inbox() <-chan peer.Inbound
-	Losses() <-chan peer.Lost
+	Losses() <-chan peer.Loss
 }
 
-// Identity is who a router is.
+// Identity describes a router.
 type Identity struct {
-	// Name is the router's name in logs.
+	// Name is used in logs.
 	Name string
-	// Address is where it listens for peers.
+	// Address is where the router listens for peers.
 	Address string
-	// Zone is the availability zone.
-	Zone string
+	Zone    string
 	// Incarnation is the wall-clock start time in nanoseconds.
 	Incarnation uint64
-	// Capacity is the share of processors, 0 if it is not stated.
+	// Capacity is the router's share of processors, 0 if unknown.
 	Capacity float64
 	// ListenAddresses are all addresses on which the router listens.
 	ListenAddresses []string
@@ -65,131 +64,137 @@
 
 // Dispatcher is one router's scheduler.
 type Dispatcher struct {
-	id      Identity
-	opt     options
-	source  Source
-	net     Transport
-	started time.Time
-	// begun is the same by the steady clock, by which lag is measured: a suspension is
-	// none.
-	begun  time.Time
-	events chan event
-	ctx    context.Context
-	cancel context.CancelFunc
-	tasks  sync.WaitGroup
-	shared shared
-	screen screen
+	id        Identity
+	opt       options
+	source    Source
+	net       Transport
+	startTime time.Time
+	// steadyStart is the start time on the monotonic clock, which stops while the machine
+	// is suspended. Lag is measured on it, so that a suspension does not count as lag.
+	steadyStart time.Time
+	events      chan event
+	ctx         context.Context
+	cancel      context.CancelFunc
+	tasks       sync.WaitGroup
+	shared      shared
+	admission   admission
 }
 
-// shared is what other tasks may read of the state.
+// shared holds the state that other goroutines may read.
 type shared struct {
-	view     atomic.Pointer[table.Table]
+	table    atomic.Pointer[table.Table]
 	status   atomic.Pointer[Status]
 	draining atomic.Bool
-	// overloaded says that this router cannot keep up with its requests.
+	// overloaded is true while the router can process only a small fraction of its
+	// requests.
 	overloaded atomic.Bool
-	// hurried says that it could not work on all of its requests a moment ago, refusing
-	// that it refuses many.
-	hurried, refusing atomic.Bool
-	// pace is how well it keeps up, nil before that was measured.
-	pace atomic.Pointer[LoadStats]
-	// asOf is the platform's revision up to which all is known, nil before anything is.
+	// saturated is true while the router lacks processor time for some of its requests,
+	// shedding while it refuses many.
+	saturated, shedding atomic.Bool
+	// loadStats is nil before the first measurement.
+	loadStats atomic.Pointer[LoadStats]
+	// asOf is the platform revision up to which everything is known, nil before the first
+	// update.
 	asOf atomic.Pointer[catalog.Revision]
-	// endWatch ends the watch that waits, nil if there is none.
-	endWatch atomic.Pointer[context.CancelFunc]
-	// verified is when that was last known to be the newest, on the
+	// cancelWatch cancels the pending watch, nil if there is none.
+	cancelWatch atomic.Pointer[context.CancelFunc]
+	// lastVerified is when the known revision was last confirmed as the newest, on the
 	// dispatcher's clock; 0 if never.
-	verified atomic.Int64
-	// applyWithin is the option of that name, in nanoseconds.
+	lastVerified atomic.Int64
+	// applyWithin is the option of that name in nanoseconds.
 	applyWithin atomic.Int64
-	// readFails counts the reads of the platform that failed since one did not.
-	readFails atomic.Int64
-	// lack is why there is no table, nil if that is not known.
-	lack atomic.Pointer[error]
-	// routers is how many routers are known, those that fell silent lately with them.
-	routers atomic.Int64
-	// turn is this router's place among those that read the platform.
-	turn atomic.Int64
+	// readFailures counts failed platform reads since the last success.
+	readFailures atomic.Int64
+	// noTableReason is why there is no table, nil if unknown.
+	noTableReason atomic.Pointer[error]
+	// routerCount is the number of known routers, including those that became silent
+	// recently.
+	routerCount atomic.Int64
+	// readerRank is this router's position in the order of platform readers, from 0.
+	readerRank atomic.Int64
 }
 
 type options struct {
 	log         *slog.Logger
 	seeds       []string
-	rule        allowance.Rule
+	retryRule   allowance.Rule
 	applyWithin time.Duration
-	// draw draws from 0 up to 1.
-	draw func() float64
-	// forwarder is told of the other routers, nil if nothing is handed on.
+	// random returns numbers in [0, 1).
+	random func() float64
+	// forwarder is nil if connections are not forwarded.
 	forwarder Forwarder
 	clock     *clock.Clock
-	// wall tells the time of day, by which callers say when they first used a key.
-	wall func() time.Time
-	// core are passed on to the decisions.
-	core []admit.Option
-	// weights says that accounts are served by their weights.
-	weights bool
-	// loads reads those of backend servers, nil if nobody does.
-	loads LoadReader
+	// wallClock returns the time of day. Callers state the first use of an idempotency key
+	// by it.
+	wallClock   func() time.Time
+	coreOptions []admit.Option
+	// weighted is true if accounts are served by their weights.
+	weighted bool
+	// loadReader is nil if backend loads are not polled.
+	loadReader LoadReader
 }
 
-// Forwarder hands callers' connections on to other routers.
+// Forwarder forwards callers' connections to other routers.
 type Forwarder interface {
-	// SetPeers replaces the routers that take some, EndStreamsExcept ends what is under
-	// way with all that do not live, EndStreams with one.
+	// SetPeers replaces the routers that accept forwarded connections. EndStreamsExcept
+	// ends the streams with all routers that are not alive, EndStreams those with one
+	// router.
 	SetPeers(list []forward.Peer)
 	EndStreamsExcept(live map[string]bool)
 	EndStreams(address string)
 }
 
-// WithForwarder sets who is told of the other routers to which connections may be handed.
+// WithForwarder sets the forwarder that is kept up to date with the live routers.
 func WithForwarder(f Forwarder) Option { return func(o *options) { o.forwarder = f } }
 
 // Option changes a new Dispatcher.
 type Option func(*options)
 
-// WithLogger sets where events are logged.
+// WithLogger sets the logger.
 func WithLogger(l *slog.Logger) Option { return func(o *options) { o.log = l } }
 
-// WithSeeds sets the addresses of the routers to begin with.
+// WithSeeds sets the addresses of the routers to contact first.
 func WithSeeds(seeds []string) Option { return func(o *options) { o.seeds = seeds } }
 
 // WithRetryBudget sets the fleet's retry budget.
-func WithRetryBudget(r allowance.Rule) Option { return func(o *options) { o.rule = r } }
+func WithRetryBudget(r allowance.Rule) Option { return func(o *options) { o.retryRule = r } }
 
-// WithApplyWithin sets within what time a change at the platform is to be in
-// force at every router that can hear of it.
+// WithApplyWithin sets the time within which every reachable router must apply a change at the
+// platform.
 func WithApplyWithin(d time.Duration) Option { return func(o *options) { o.applyWithin = d } }
 
-// WithClock sets the clock by which all that is believed ages.
+// WithClock sets the clock that measures the age of all state.
 func WithClock(c *clock.Clock) Option { return func(o *options) { o.clock = c } }
 
-// WithUniqueStarts says that each start of a backend server has a name of its own unless the
-// directory gives it a number, and refuses what is meant for another.
-func WithUniqueStarts() Option {
-	return func(o *options) { o.core = append(o.core, admit.WithUniqueIncarnations()) }
+// WithUniqueIncarnations declares that every start of a backend server has its own name, unless the
+// directory numbers the starts. Requests that are meant for another start are refused.
+func WithUniqueIncarnations() Option {
+	return func(o *options) { o.coreOptions = append(o.coreOptions, admit.WithUniqueIncarnations()) }
 }
 
 // WithRandom sets the source of random numbers in [0, 1) that selects which requests are
 // admitted when an account is throttled. The default is rand.Float64.
-func WithRandom(draw func() float64) Option { return func(o *options) { o.draw = draw } }
+func WithRandom(randomFloat func() float64) Option {
+	return func(o *options) { o.random = randomFloat }
+}
 
-// DefaultApplyWithin is used where settings do not say.
+// DefaultApplyWithin applies where the settings give no value.
 const DefaultApplyWithin = 2 * time.Second
 
-// New returns a dispatcher that Start starts.
+// New returns a dispatcher. Call Start to run it.
 func New(id Identity, source Source, n Transport, opts ...Option) *Dispatcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Dispatcher{
-		id: id, source: source, net: n, begun: time.Now(),
+		id: id, source: source, net: n, steadyStart: time.Now(),
 		opt: options{
-			log: slog.Default(), rule: allowance.DefaultRule(), applyWithin: DefaultApplyWithin, draw: rand.Float64, clock: clock.System(), wall: time.Now,
+			log: slog.Default(), retryRule: allowance.DefaultRule(), applyWithin: DefaultApplyWithin, random: rand.Float64, clock: clock.System(), wallClock: time.Now,
 		},
-		events: make(chan event, inboxSize), ctx: ctx, cancel: cancel, screen: newScreen(),
+		events: make(chan event, inboxSize), ctx: ctx, cancel: cancel, admission: newAdmission(),
 	}
 	for _, f := range opts {
 		f(&d.opt)
 	}
-	d.started = d.opt.clock.Now()
+	d.startTime = d.opt.clock.Now()
 	d.shared.applyWithin.Store(int64(d.opt.applyWithin))
 	return d
 }
@@ -198,19 +203,19 @@
 // be applied.
 func (d *Dispatcher) Reconfigure(r allowance.Rule, applyWithin time.Duration) {
 	d.shared.applyWithin.Store(int64(applyWithin))
-	d.post(setRule{r})
+	d.post(setRetryRuleEvent{r})
 }
 
-type setRule struct{ allowance.Rule }
+type setRetryRuleEvent struct{ allowance.Rule }
 
-func (e setRule) apply(s *state) {
-	s.rule = e.Rule
+func (e setRetryRuleEvent) apply(s *state) {
+	s.retryRule = e.Rule
 	s.allowance.SetRule(e.Rule)
 }
 
-// Start starts the tasks.
+// Start starts the goroutines.
 func (d *Dispatcher) Start() {
-	tasks := []func(){d.run, d.watch, d.verify, d.measureLag}
+	tasks := []func(){d.run, d.watchPlatform, d.verifyPlatform, d.measureLag}
 	if l, ok := d.source.(InstanceLister); ok {
 		tasks = append(tasks, func() { d.watchInstances(l) })
 	}
@@ -223,7 +228,7 @@
 	}
 }
 
-// Close ends the tasks at once.
+// Close stops the goroutines and waits for them.
 func (d *Dispatcher) Close() {
 	d.cancel()
 	d.tasks.Wait()
@@ -232,48 +237,48 @@
 // Closed reports whether Close was called.
 func (d *Dispatcher) Closed() bool { return d.ctx.Err() != nil }
 
-// clockStart is what the dispatcher's clock shows at its start, so that no
-// moment is the zero time.
+// clockStart is the reading of the dispatcher's clock at the start, so that 0 can mean "never".
 const clockStart = time.Hour
 
-// now is the dispatcher's clock, which only runs on, also while the machine is suspended.
-func (d *Dispatcher) now() time.Duration { return clockStart + d.opt.clock.Since(d.started) }
+// now returns the time on the dispatcher's clock, which also counts while the machine is
+// suspended.
+func (d *Dispatcher) now() time.Duration { return clockStart + d.opt.clock.Since(d.startTime) }
 
-// event is what the task takes in one step.
+// event is one step of the event loop.
 type event interface{ apply(s *state) }
 
-// run is the task that owns the state.
+// run is the event loop. It owns the state.
 func (d *Dispatcher) run() {
 	s := newState(d)
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	soon := time.NewTimer(busyTick)
-	defer soon.Stop()
+	busyTimer := time.NewTimer(busyTickInterval)
+	defer busyTimer.Stop()
 	armed := true
 	for {
 		if !armed && s.core.NeedsTicks() {
-			soon.Reset(busyTick)
+			busyTimer.Reset(busyTickInterval)
 			armed = true
 		}
 		select {
 		case <-d.ctx.Done():
 			return
-		case <-soon.C:
+		case <-busyTimer.C:
 			armed = false
-			s.apply(ticked{})
+			s.apply(tickEvent{})
 		case ev := <-d.events:
 			s.apply(ev)
 		case in := <-d.net.Inbox():
-			s.apply(inbound{in})
+			s.apply(messageEvent{in})
 		case l := <-d.net.Losses():
-			s.apply(lost{l})
+			s.apply(lossEvent{l})
 		case <-tick.C:
-			s.apply(ticked{})
+			s.apply(tickEvent{})
 		}
 	}
 }
 
-// post hands an event to the task, unless it has ended.
+// post queues an event for the event loop. It reports false if the dispatcher was closed.
 func (d *Dispatcher) post(ev event) bool {
 	select {
 	case d.events <- ev:
@@ -283,7 +288,7 @@
 	}
 }
 
-// asOf returns the platform's revision up to which all is known.
+// asOf returns the platform revision up to which everything is known.
 func (d *Dispatcher) asOf() catalog.Revision {
 	if r := d.shared.asOf.Load(); r != nil {
 		return *r
@@ -292,16 +297,17 @@
 }
 
 // Table implements front.Scheduler.
-func (d *Dispatcher) Table() *table.Table { return d.shared.view.Load() }
+func (d *Dispatcher) Table() *table.Table { return d.shared.table.Load() }
 
-// Drain makes the router leave: others are told, and what waits is refused.
+// Drain announces to other routers that this one stops. If accounts are served by weights, it
+// also refuses waiting requests.
 func (d *Dispatcher) Drain() {
 	d.shared.draining.Store(true)
-	d.post(drained{})
+	d.post(drainEvent{})
 }
 
 // Draining reports whether Drain was called.
 func (d *Dispatcher) Draining() bool { return d.shared.draining.Load() }
 
-// Overloaded reports whether this router cannot keep up with its requests.
+// Overloaded reports whether this router can process only a small fraction of its requests.
 func (d *Dispatcher) Overloaded() bool { return d.shared.overloaded.Load() }
--- a/internal/dispatch/instances.go
+++ b/internal/dispatch/instances.go
@@ -10,37 +10,38 @@
 
 // InstanceLister is a Source that also publishes the list of routers.
 type InstanceLister interface {
-	// Instances waits for a list after a revision, for a while at most; ok is false if there
-	// was none.
+	// Instances waits a limited time for a list after a revision; ok is false if there was
+	// none.
 	Instances(ctx context.Context, after uint64) (list platform.Instances, ok bool, err error)
 }
 
-// listPause is the shortest time between two readings of the list, drawn up to twice that.
-const listPause = 100 * time.Millisecond
+// listInterval is the shortest interval between two reads of the list. A random part of up to
+// the same length is added.
+const listInterval = 100 * time.Millisecond
 
-// watchInstances is the task that follows the platform's list of routers: it names whom to
-// try first, and which routers are homes of keys.
+// watchInstances follows the platform's list of routers, which gives the seeds and the homes of
+// idempotency keys.
 func (d *Dispatcher) watchInstances(l InstanceLister) {
 	wait := newBackoff()
 	for after := uint64(0); d.ctx.Err() == nil; {
 		list, ok, err := l.Instances(d.ctx, after)
 		switch {
 		case err != nil:
-			d.readFailed("instances", err)
-			d.pause(wait.NextBackOff())
+			d.recordReadFailure("instances", err)
+			d.sleep(wait.NextBackOff())
 			continue
 		case ok && list.Revision > after:
 			wait.Reset()
 			after = list.Revision
-			d.post(listed{list})
+			d.post(instancesEvent{list})
 		}
-		d.pause(listPause + rand.N(listPause))
+		d.sleep(listInterval + rand.N(listInterval))
 	}
 }
 
-type listed struct{ platform.Instances }
+type instancesEvent struct{ platform.Instances }
 
-func (e listed) apply(s *state) {
+func (e instancesEvent) apply(s *state) {
 	var addresses []string
 	for _, i := range e.Instances.Instances {
 		if i.State == platform.Live {
@@ -48,5 +49,5 @@
 		}
 	}
 	s.roster.SetSeeds(addresses)
-	s.keys.setList(s.now, s.d.id.Zone, e.Instances.Instances)
+	s.keys.setRouters(s.now, s.d.id.Zone, e.Instances.Instances)
 }
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -11,71 +11,68 @@
 )
 
 const (
-	// gossipEvery is the interval at which a router tells one other whom it
-	// knows, where nobody vouches for anyone.
-	gossipEvery = 2 * time.Second
-	// askNewsEvery bounds how often news are asked for, askAllEvery how often all that
-	// the platform published is: at 3,000 backend servers that takes 0.3 MB, which a
-	// router that starts would else get from each that it hears.
-	askNewsEvery = 100 * time.Millisecond
-	askAllEvery  = 300 * time.Millisecond
-	// silentTellings is how many tellings may be missed before what was told
-	// counts no more.
-	silentTellings = 4
+	// gossipInterval is the interval of sending the roster to one other router in a full
+	// mesh, where no relays do so.
+	gossipInterval = 2 * time.Second
+	// updateRequestInterval bounds the rate of requests for updates,
+	// fullUpdateRequestInterval that of requests for full updates, which are large.
+	updateRequestInterval     = 100 * time.Millisecond
+	fullUpdateRequestInterval = 300 * time.Millisecond
+	// maxMissedReports is the number of missed reports after which the last one expires.
+	maxMissedReports = 4
 )
 
-// link is what is remembered of the talk with another router.
+// link is the state of the exchange with another router.
 type link struct {
-	inc uint64
-	// stamp is the last one received from it, stampAt when that was.
-	stamp   wire.Stamp
-	stampAt time.Duration
-	// digest is that of the roster that it was last told, changes how many
-	// changes of the roster had been by then.
-	digest, changes uint64
-	// askedWhole is when it was last asked for its whole roster.
-	askedWhole time.Duration
+	incarnation uint64
+	// stamp is the last time stamp received, stampReceivedAt when it arrived.
+	stamp           wire.Stamp
+	stampReceivedAt time.Duration
+	// rosterDigest and rosterVersion identify the roster that was last sent.
+	rosterDigest, rosterVersion uint64
+	// rosterRequestedAt is when the full roster was last requested.
+	rosterRequestedAt time.Duration
 }
 
-// inbound is a message of another router.
-type inbound struct{ peer.Inbound }
+// messageEvent is a message from another router.
+type messageEvent struct{ peer.Inbound }
 
-func (e inbound) apply(s *state) {
-	member := roster.Member{Address: e.From, Name: e.Name, Zone: e.Zone, Inc: e.Inc}
+func (e messageEvent) apply(s *state) {
+	member := roster.Member{Address: e.From, Name: e.Name, Zone: e.Zone, Inc: e.Incarnation}
 	if s.roster.Observe(s.now, member) {
-		s.d.opt.log.Info("member_heard", "peer", e.Name, "address", e.From, "zone", e.Zone, "incarnation", e.Inc)
-		if _, told := e.Msg.(*wire.Roster); !told {
-			s.tellRoster(e.From, true)
+		s.d.opt.log.Info("member_heard", "peer", e.Name, "address", e.From, "zone", e.Zone, "incarnation", e.Incarnation)
+		if _, isRoster := e.Msg.(*wire.Roster); !isRoster {
+			s.sendFullRoster(e.From, true)
 		}
 		if s.catalog.AsOf().IsZero() {
-			s.askNews(e.From)
+			s.requestUpdate(e.From)
 		}
-		if m := s.retainedNews(); m != nil {
+		if m := s.retainedUpdate(); m != nil {
 			s.d.net.Send(e.From, m)
 		}
-		s.tellAllSuspects(e.From)
-		s.heardOfMembers()
+		s.sendAllSuspects(e.From)
+		s.scheduleMembersUpdate()
 	}
 	switch m := e.Msg.(type) {
-	case *wire.State:
-		s.hear(e.Inbound, m)
-	case *wire.Ask, *wire.Reply, *wire.Note, *wire.Sync, *wire.Leaving, *wire.Suspects:
+	case *wire.RouterState:
+		s.handleState(e.Inbound, m)
+	case *wire.SlotRequest, *wire.SlotReply, *wire.RequestUpdate, *wire.RequestSync, *wire.Leaving, *wire.SuspectUpdate:
 		s.step(admit.Message{From: e.From, Msg: m})
-	case *wire.Uses:
-		s.hearUses(e.Inbound, m)
-	case *wire.Claim, *wire.ClaimVoid, *wire.ClaimAnswer:
-		s.receiveClaim(e.From, m)
+	case *wire.Usage:
+		s.handleUsage(e.Inbound, m)
+	case *wire.Claim, *wire.ClaimRelease, *wire.ClaimReply:
+		s.handleClaimMessage(e.From, m)
 	case *wire.Roster:
-		s.learnRoster(e.From, m)
-	case *wire.NewsAsk:
-		s.d.net.Send(e.From, s.newsFor(m))
-	case *wire.News:
+		s.mergeRoster(e.From, m)
+	case *wire.PlatformUpdateRequest:
+		s.d.net.Send(e.From, s.updateSince(m))
+	case *wire.PlatformUpdate:
 		indexTables(&m.Update)
-		heard{Update: m.Checked(), from: e.Name, sender: e.From}.apply(s)
+		updateEvent{Update: m.Checked(), senderName: e.Name, senderAddress: e.From}.apply(s)
 	}
 }
 
-// indexTables makes the tables of received news ready to be searched.
+// indexTables indexes the tables of a received update for lookups.
 func indexTables(n *catalog.Update) {
 	if n.Table != nil {
 		n.Table.Index()
@@ -86,130 +83,129 @@
 }
 
 func (s *state) link(to string) *link {
-	l, ok := s.links[to]
+	l, ok := s.peerLinks[to]
 	if !ok {
 		l = &link{}
-		s.links[to] = l
+		s.peerLinks[to] = l
 	}
 	return l
 }
 
-// hear takes in what another router has under way and how much it knows.
-func (s *state) hear(from peer.Inbound, m *wire.State) {
+// handleState processes a report of another router.
+func (s *state) handleState(from peer.Inbound, m *wire.RouterState) {
 	l := s.link(from.From)
-	if l.inc < from.Inc {
-		*l = link{inc: from.Inc}
+	if l.incarnation < from.Incarnation {
+		*l = link{incarnation: from.Incarnation}
 	}
-	l.stamp, l.stampAt = m.Stamp, s.now
+	l.stamp, l.stampReceivedAt = m.Stamp, s.now
 	if m.Leaving {
 		s.roster.MarkLeaving(from.From)
 	}
-	if m.Roster != 0 && !s.roster.ConfirmReport(s.now, from.From, m.Roster) {
-		s.askRoster(from.From)
+	if m.RosterDigest != 0 && !s.roster.ConfirmReport(s.now, from.From, m.RosterDigest) {
+		s.requestRoster(from.From)
 	}
-	if s.accepts(from, m.Scope) {
-		s.step(admit.PeerState{From: from.From, Zone: from.Zone, Msg: m, TTL: silentTellings * s.talk.Interval})
+	if s.acceptsScope(from, m.Scope) {
+		s.step(admit.PeerState{From: from.From, Zone: from.Zone, Msg: m, TTL: maxMissedReports * s.peerPlan.Interval})
 	}
-	asOf, theirs := s.catalog.AsOf(), catalog.Revision{Epoch: m.Epoch, Number: m.AsOf}
-	if asOf.Before(theirs) {
-		s.askNews(from.From)
+	asOf, peerAsOf := s.catalog.AsOf(), catalog.Revision{Epoch: m.Epoch, Number: m.AsOf}
+	if asOf.Before(peerAsOf) {
+		s.requestUpdate(from.From)
 		return
 	}
-	if theirs == asOf && m.Age >= 0 && m.Echo > 0 {
-		s.hearVerified(from, m)
+	if peerAsOf == asOf && m.VerifiedAgeMillis >= 0 && m.Echo > 0 {
+		s.handleVerified(from, m)
 	}
 }
 
-// accepts reports whether flows of a scope are counted here: all flows must be
-// counted, and none twice.
-func (s *state) accepts(from peer.Inbound, scope wire.Scope) bool {
+// acceptsScope reports whether this router counts flows of a scope from a sender, so that every
+// flow is counted exactly once.
+func (s *state) acceptsScope(from peer.Inbound, scope wire.Scope) bool {
 	switch scope {
 	case wire.ScopeOwn:
-		return s.talk.Mesh || s.talk.Relay
+		return s.peerPlan.Mesh || s.peerPlan.Relay
 	case wire.ScopeZone:
-		return s.talk.Relay && from.From == s.roster.PrimaryRelay(s.now, from.Zone)
+		return s.peerPlan.Relay && from.From == s.roster.PrimaryRelay(s.now, from.Zone)
 	case wire.ScopeRest:
-		return !s.talk.Mesh && !s.talk.Relay && from.From == s.roster.PrimaryRelay(s.now, s.d.id.Zone)
+		return !s.peerPlan.Mesh && !s.peerPlan.Relay && from.From == s.roster.PrimaryRelay(s.now, s.d.id.Zone)
 	default:
 		return true
 	}
 }
 
-// allNewsFor is for how long all that the platform published is told as it was collected
-// once, while nothing is published.
-const allNewsFor = 200 * time.Millisecond
+// fullUpdateTTL is how long a cached full update may be reused.
+const fullUpdateTTL = 200 * time.Millisecond
 
-// allNews is all that the platform published, as collected for somebody who asked.
-type allNews struct {
-	msg  *wire.News
+// cachedUpdate is a full update built for an earlier request.
+type cachedUpdate struct {
+	msg  *wire.PlatformUpdate
 	asOf catalog.Revision
 	at   time.Duration
 }
 
-// newsFor returns what the platform published after a revision. All of it is collected
-// once for all who ask at a start of the fleet, or of an epoch: what waits to be sent to 100
-// routers would else hold 60 MB at 3,000 backend servers. The message is not changed any more.
-func (s *state) newsFor(ask *wire.NewsAsk) *wire.News {
+// updateSince returns what was published after a revision. Full updates are cached, since many
+// routers request one when the fleet starts and queued copies would need much memory. The
+// message must not be modified.
+func (s *state) updateSince(request *wire.PlatformUpdateRequest) *wire.PlatformUpdate {
 	asOf := s.catalog.AsOf()
-	if ask.Epoch == asOf.Epoch && s.catalog.HasHistorySince(ask.After) {
-		return &wire.News{Update: s.catalog.Since(ask.After)}
+	if request.Epoch == asOf.Epoch && s.catalog.HasHistorySince(request.After) {
+		return &wire.PlatformUpdate{Update: s.catalog.Since(request.After)}
 	}
-	if s.all.msg == nil || s.all.asOf != asOf || s.now-s.all.at >= allNewsFor {
-		s.all = allNews{msg: &wire.News{Update: s.catalog.Since(0)}, asOf: asOf, at: s.now}
+	if s.fullUpdate.msg == nil || s.fullUpdate.asOf != asOf || s.now-s.fullUpdate.at >= fullUpdateTTL {
+		s.fullUpdate = cachedUpdate{msg: &wire.PlatformUpdate{Update: s.catalog.Since(0)}, asOf: asOf, at: s.now}
 	}
-	return s.all.msg
+	return s.fullUpdate.msg
 }
 
-// askNews asks another router for what it knows beyond what is known here.
-func (s *state) askNews(from string) {
+// requestUpdate asks another router for what it knows beyond the local revision.
+func (s *state) requestUpdate(from string) {
 	after := s.catalog.AsOf()
-	every := askNewsEvery
+	interval := updateRequestInterval
 	if after.IsZero() {
-		every = askAllEvery
+		interval = fullUpdateRequestInterval
 	}
-	if s.now-s.askedNews < every {
+	if s.now-s.updateRequestedAt < interval {
 		return
 	}
-	s.askedNews = s.now
-	s.d.net.Send(from, &wire.NewsAsk{Epoch: after.Epoch, After: after.Number})
+	s.updateRequestedAt = s.now
+	s.d.net.Send(from, &wire.PlatformUpdateRequest{Epoch: after.Epoch, After: after.Number})
 }
 
-// spread tells others at once what came after a revision: what this router has
-// read itself to all it talks with, and a relay passes on what it was told.
-func (s *state) spread(after uint64, sender string) {
+// broadcastUpdate sends what was published after a revision. A router sends what it read itself
+// to all its peers; a relay also passes on what it received.
+func (s *state) broadcastUpdate(after uint64, sender string) {
 	if after == 0 {
-		// All at once would be sent to everybody by everybody at a start of the fleet:
-		// whoever lacks it asks for it.
-		s.tellKnown()
+		// Sending everything would flood the network when the fleet starts. Routers
+		// that lack it request it.
+		s.broadcastVerified()
 		return
 	}
-	if sender != "" && !s.talk.Relay {
+	if sender != "" && !s.peerPlan.Relay {
 		return
 	}
-	news := s.catalog.Since(after)
-	if news.Empty() {
+	update := s.catalog.Since(after)
+	if update.Empty() {
 		return
 	}
-	s.sendToAll(&wire.News{Update: news}, sender)
+	s.broadcast(&wire.PlatformUpdate{Update: update}, sender)
 }
 
-// sendToAll sends a message, which is not changed any more, to all that this router talks
-// with but one, "" for none.
-func (s *state) sendToAll(msg any, but string) {
-	for _, list := range [][]string{s.talk.Peers, s.talk.Served, s.talk.RemoteRelays} {
+// broadcast sends a message to all peers except one, "" for none. The message must not be
+// modified.
+func (s *state) broadcast(msg any, except string) {
+	for _, list := range [][]string{s.peerPlan.Peers, s.peerPlan.Served, s.peerPlan.RemoteRelays} {
 		for _, to := range list {
-			if to != but {
+			if to != except {
 				s.d.net.Send(to, msg)
 			}
 		}
 	}
 }
 
-// lost is a router to which messages could not be delivered.
-type lost struct{ peer.Lost }
+// lossEvent reports that messages to a router could not be delivered.
+type lossEvent struct{ peer.Loss }
 
-func (e lost) apply(s *state) {
-	s.link(e.Peer).digest = 0
+func (e lossEvent) apply(s *state) {
+	s.link(e.Peer).rosterDigest = 0
 	if f := s.d.opt.forwarder; f != nil {
 		f.EndStreams(e.Peer)
 	}
@@ -218,62 +214,62 @@
 	}
 	s.roster.MarkDown(e.Peer)
 	s.step(admit.PeerGone{From: e.Peer})
-	s.heardOfMembers()
+	s.scheduleMembersUpdate()
 }
 
-// tellOthers tells other routers what is due to be told.
-func (s *state) tellOthers() {
-	if s.now-s.toldAt < s.talk.Interval {
+// sendReports sends the periodic reports to other routers.
+func (s *state) sendReports() {
+	if s.now-s.reportedAt < s.peerPlan.Interval {
 		return
 	}
-	s.toldAt = s.now
-	s.membersChanged()
+	s.reportedAt = s.now
+	s.updateMembers()
 	t := s.core.Snapshot(s.now)
-	for _, to := range s.talk.Peers {
-		s.tell(to, t, wire.ScopeOwn, t.Copies())
+	for _, to := range s.peerPlan.Peers {
+		s.sendReport(to, t, wire.ScopeOwn, t.Copies())
 	}
-	// Both relays of a zone hear all that its routers tell, so one passes it on.
+	// Every relay of a zone receives the reports of its routers, so only the primary relay
+	// passes the sums on.
 	served, servedCopies := wire.ScopeNone, t.Copies()
-	others, zoneCopies := wire.ScopeNone, t.Copies()
-	if s.talk.Primary {
+	remote, zoneCopies := wire.ScopeNone, t.Copies()
+	if s.peerPlan.Primary {
 		served, servedCopies = wire.ScopeRest, t.AllCopies()
-		others, zoneCopies = wire.ScopeZone, t.ZoneCopies()
+		remote, zoneCopies = wire.ScopeZone, t.ZoneCopies()
 	}
-	for _, to := range s.talk.Served {
-		s.tell(to, t, served, servedCopies)
+	for _, to := range s.peerPlan.Served {
+		s.sendReport(to, t, served, servedCopies)
 	}
-	for _, to := range s.talk.RemoteRelays {
-		s.tell(to, t, others, zoneCopies)
+	for _, to := range s.peerPlan.RemoteRelays {
+		s.sendReport(to, t, remote, zoneCopies)
 	}
-	for _, to := range s.roster.NextProbes(s.now, s.talk) {
-		s.try(to)
+	for _, to := range s.roster.NextProbes(s.now, s.peerPlan) {
+		s.probe(to)
 	}
 	s.roster.Forget(s.now)
 	s.gossip()
 }
 
-// tell sends one router what it is to know.
-func (s *state) tell(to string, t *admit.Snapshot, scope wire.Scope, copies []wire.Copy) {
-	m := s.stateFor(to)
+// sendReport sends one router its report.
+func (s *state) sendReport(to string, t *admit.Snapshot, scope wire.Scope, copies []wire.PrefixCopy) {
+	m := s.stateMessage(to)
 	m.Scope, m.Copies = scope, copies
-	if !s.d.opt.weights {
+	if !s.d.opt.weighted {
 		m.Accounts = t.Flows(scope, to)
 	}
-	if s.talk.Relay {
-		m.Roster = s.digest
-		s.tellRosterChanges(to, s.link(to))
+	if s.peerPlan.Relay {
+		m.RosterDigest = s.rosterDigest
+		s.sendRosterChanges(to, s.link(to))
 	}
 	s.d.net.Send(to, m)
-	s.tellUses(to, t, scope)
+	s.sendUsage(to, t, scope)
 }
 
-// gossip tells one router in turn whom this one knows, where there are no relays
-// to do so.
+// gossip sends the roster to one other router in turn, if the fleet is a full mesh.
 func (s *state) gossip() {
-	all := s.talk.Peers
-	if !s.talk.Mesh || s.now-s.gossiped < gossipEvery || len(all) == 0 {
+	all := s.peerPlan.Peers
+	if !s.peerPlan.Mesh || s.now-s.gossipedAt < gossipInterval || len(all) == 0 {
 		return
 	}
-	s.gossiped = s.now
-	s.tellRoster(all[int(s.now/gossipEvery)%len(all)], false)
+	s.gossipedAt = s.now
+	s.sendFullRoster(all[int(s.now/gossipInterval)%len(all)], false)
 }
--- a/internal/front/batch_delay_test.go
+++ b/internal/front/batch_delay_test.go
@@ -27,7 +27,7 @@
 			s := &Server{}
 			s.SetCallerLimits(CallerLimits{MaxEventDelay: 180 * time.Millisecond})
 			got := time.Duration(0)
-			if delay := s.batchDelay(&routeState{Route: &table.Route{Pause: tc.pause}}, tc.saturated); delay != nil {
+			if delay := s.batchDelay(&routeState{Route: &table.Route{TargetGap: tc.pause}}, tc.saturated); delay != nil {
 				got = delay()
 			}
 			if got != tc.want {
--- a/internal/front/early_bench_test.go
+++ b/internal/front/early_bench_test.go
@@ -33,7 +33,7 @@
 	f.overloaded.Store(true)
 	f.shedding.Store(shedding)
 	f.refusal = verdict.New(verdict.PhaseAdmit, http.StatusTooManyRequests, "over-share", "retry later").WithRetryAfter(time.Second)
-	f.table.Routes = []table.Route{{Name: "r", Host: "forms.example", Prefix: "/a/", Target: time.Second, Stream: true, Targets: []table.Target{{Service: "scores", Weight: 1}}}}
+	f.table.Routes = []table.Route{{Name: "r", Host: "forms.example", Prefix: "/a/", TargetLatency: time.Second, Stream: true, Targets: []table.Target{{Service: "scores", Weight: 1}}}}
 	f.table.Index()
 	m, err := metrics.New("z")
 	if err != nil {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -319,7 +319,7 @@
 	for _, target := range []time.Duration{250, 300, 400, 600, 800} {
 		target *= time.Millisecond
 		f := &fake{table: newTable(t), results: []backend.Result{{}}, requests: make(chan front.Request, 1)}
-		f.table.Routes = []table.Route{{Name: "r", Host: "forms.example", Prefix: "/a/", Target: target, Public: true, Targets: []table.Target{{Service: "scores", Weight: 1}}}}
+		f.table.Routes = []table.Route{{Name: "r", Host: "forms.example", Prefix: "/a/", TargetLatency: target, Public: true, Targets: []table.Target{{Service: "scores", Weight: 1}}}}
 		f.table.Index()
 		url := start(t, f)
 		req, err := http.NewRequest(http.MethodGet, url+"/a/x", nil)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,7 @@
 	Settings config.Settings
 	// Router, Peers, Front and Platform are exported for measurements.
 	Router   *router.Router
-	Peers    *peer.Net
+	Peers    *peer.Transport
 	Front    *front.Server
 	Platform *platform.Client
 
@@ -168,7 +168,7 @@
 	n.burn = burn.New(s.Name, s.Objectives)
 	incarnation := uint64(o.wallClock().UnixNano())
 	backendOpts := []backend.Option{
-		backend.WithDialer(o.dialer), backend.WithIdleTimeout(s.Backends.Idle), backend.WithMaxResponse(s.Backends.MaxAnswerBytes), backend.WithClock(n.clock),
+		backend.WithDialer(o.dialer), backend.WithIdleTimeout(s.Backends.IdleTimeout), backend.WithMaxResponse(s.Backends.MaxResponseBytes), backend.WithClock(n.clock),
 	}
 	frontOpts := []front.Option{
 		front.WithCallerLimits(callerLimits(s)), front.WithTLS(t.callers), front.WithLogger(n.log),
@@ -209,13 +209,13 @@
 func (n *Node) setUpPlatformDispatcher(s config.Settings, o options, t tlsConfigs, p Platform, incarnation uint64) {
 	id := dispatch.Identity{Name: s.Name, Address: n.listeners.peers.Addr().String(), Zone: s.Zone, Incarnation: incarnation, Capacity: s.Machine.Processors, ListenAddresses: n.listeners.addresses()}
 	n.forwarder = forward.New(forward.WithBatchDelay(n.forwardedBatchDelay), forward.WithClock(n.clock))
-	n.Peers = peer.New(id.Name, id.Zone, id.Incarnation, n.listeners.peers, append(n.peerOptions(o, t), peer.WithAddress(id.Address), peer.WithTaken(n.forwarder.Handle))...)
+	n.Peers = peer.New(id.Name, id.Zone, id.Incarnation, n.listeners.peers, append(n.peerOptions(o, t), peer.WithAddress(id.Address), peer.WithInterceptor(n.forwarder.Handle))...)
 	opts := []dispatch.Option{
 		dispatch.WithLogger(n.log), dispatch.WithSeeds(s.Seeds), dispatch.WithApplyWithin(s.ApplyWithin),
 		dispatch.WithRetryBudget(retryBudget(s.Retries)), dispatch.WithForwarder(n.forwarder), dispatch.WithClock(n.clock),
 	}
 	if p.Backends.Instance != "" {
-		opts = append(opts, dispatch.WithUniqueStarts())
+		opts = append(opts, dispatch.WithUniqueIncarnations())
 	}
 	n.Dispatch = dispatch.New(id, p.Source(s.Platform, o.dialer), n.Peers, opts...)
 }
@@ -228,7 +228,7 @@
 	n.loads = backend.NewLoadReader(o.dialer)
 	n.Dispatch = dispatch.New(id, values.New(n.Platform), n.Peers,
 		dispatch.WithLogger(n.log), dispatch.WithSeeds(s.Seeds), dispatch.WithApplyWithin(s.ApplyWithin),
-		dispatch.WithRetryBudget(retryBudget(s.Retries)), dispatch.WithClock(n.clock), dispatch.WithWeights(), dispatch.WithLoadReader(n.loads))
+		dispatch.WithRetryBudget(retryBudget(s.Retries)), dispatch.WithClock(n.clock), dispatch.WithWeightedAccounts(), dispatch.WithLoadReader(n.loads))
 }
 
 // forwardedBatchShare is the share of the event delay limit for which responses to another
@@ -236,7 +236,7 @@
 const forwardedBatchShare = 0.25
 
 func (n *Node) forwardedBatchDelay() time.Duration {
-	return time.Duration(forwardedBatchShare * float64(n.Settings.Callers.PassWithin))
+	return time.Duration(forwardedBatchShare * float64(n.Settings.Callers.MaxEventDelay))
 }
 
 func (n *Node) peerOptions(o options, t tlsConfigs) []peer.Option {
@@ -306,8 +306,8 @@
 func callerLimits(s config.Settings) front.CallerLimits {
 	return front.CallerLimits{
 		MaxBody: s.Callers.MaxBodyBytes, MaxHeader: s.Callers.MaxHeaderBytes, Deadline: s.Callers.DefaultDeadline,
-		IOTimeout: s.Callers.SlowCaller, MaxOpen: s.Callers.MaxOpen, MaxConnections: maxConnections(s.Machine),
-		MaxEventDelay: s.Callers.PassWithin,
+		IOTimeout: s.Callers.IOTimeout, MaxOpen: s.Callers.MaxOpen, MaxConnections: maxConnections(s.Machine),
+		MaxEventDelay: s.Callers.MaxEventDelay,
 	}
 }
 
@@ -346,7 +346,7 @@
 // drain notice, so that load balancers stop sending requests. Then it refuses new requests,
 // returns leases and waits for open requests until ctx is done.
 func (n *Node) Stop(ctx context.Context) error {
-	n.admin.Leave()
+	n.admin.MarkNotReady()
 	n.Front.DisableKeepAlives()
 	n.log.Info("router_leaving", "notice_ms", n.currentDrainNotice().Milliseconds())
 	n.clock.Sleep(ctx, n.currentDrainNotice())
--- /dev/null
+++ b/pkg/admit/ask.go
@@ -0,0 +1,367 @@
+package admit
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/yarrowmast/yarrowmast/pkg/verdict"
+	"github.com/yarrowmast/yarrowmast/pkg/wire"
+)
+
+const (
+	// replyTimeout bounds the wait for an owner's reply. It allows for two round trips between
+	// regions that are 8 ms apart.
+	replyTimeout = 40 * time.Millisecond
+	// delayFactor is how often the router's own processing delay is added to timeouts: once for
+	// the reply, and once for a change of the delay before it is measured again.
+	delayFactor = 2
+	// grantValidFor is the longest pause of the process after which a granted slot may still be
+	// used: the owner reassigns the slots of a holder that has been silent for AttemptTTL, and
+	// sooner those that the holder does not list. Messages that are processed within
+	// resumeGrace after a pause may have been sent during the pause.
+	grantValidFor = time.Second
+	resumeGrace   = 200 * time.Millisecond
+	// unresponsivePeriod is how long an owner that did not reply is not asked, unless a message
+	// of it arrives.
+	unresponsivePeriod = 500 * time.Millisecond
+	// spillAfterFraction of its maximum wait must have passed before a request may go to a
+	// backend server that does not have its shared prefix.
+	spillAfterFraction = 0.7
+	// smallPrefixFraction is the fraction of a prompt up to which reading the shared prefix
+	// again is cheap.
+	smallPrefixFraction = 0.25
+	// maxAsks bounds the slot requests per request.
+	maxAsks = 4
+	// busyPeriod is how long a backend server without a free slot is skipped if there are
+	// others.
+	busyPeriod = 30 * time.Millisecond
+	// defaultTarget is used if the request has no target.
+	defaultTarget = time.Second
+	// minRetryAfter is the least retry delay of a request that got no slot; a random part of up
+	// to the same length is added. An engine reads a medium-sized prompt in that time.
+	minRetryAfter = 60 * time.Millisecond
+	// retryAfterNoServer is the retry delay if the service has no backend server.
+	retryAfterNoServer = 250 * time.Millisecond
+	// retryAfterClosed is the retry delay if operators have closed the zones.
+	retryAfterClosed = time.Second
+	// localSlotFraction is the fraction of its slots that a router uses at a backend server
+	// whose owner does not reply.
+	localSlotFraction = 0.75
+)
+
+// Reasons for the choice of a backend server.
+const (
+	reasonPreferred = "prefix"
+	reasonCopy      = "copy"
+	reasonSpill     = "spill"
+	reasonLessBusy  = "less-busy"
+	// reasonOwnerTimeout: the owner did not reply in time, and the holder admitted the request
+	// on its own estimate.
+	reasonOwnerTimeout = "owner-timeout"
+)
+
+// advanceWaiting advances every waiting request.
+func (c *Core) advanceWaiting() {
+	for _, r := range slices.Clone(c.waiting) {
+		if r.server == nil {
+			c.advance(r)
+		}
+	}
+}
+
+// advance refuses a request that has waited too long, and otherwise asks for a slot if one more
+// slot request is due.
+func (c *Core) advance(r *request) {
+	if err := c.refusal(r); err != nil {
+		c.refuse(r, err)
+		return
+	}
+	if c.expireAsks(r) {
+		return
+	}
+	if c.weighted != nil {
+		c.renewAsks(r)
+	}
+	if r.awaitsReply() || c.waitsForTrial(r) || !c.mayAsk(r) || !c.withinLimits(r) {
+		return
+	}
+	if r.isQueued() && !c.maySpill(r) || len(r.asks) >= c.maxAsks(r) {
+		return
+	}
+	if s, reason := c.nextServer(r); s != nil {
+		c.askOwner(r, s, reason)
+	}
+}
+
+// maxAsks returns the maximum number of slot requests of a request. If accounts are scheduled
+// by weight it grows with the waiting time, so that no backend server stays idle.
+func (c *Core) maxAsks(r *request) int {
+	if c.weighted == nil {
+		return maxAsks
+	}
+	if len(r.asks) == 0 {
+		return 1
+	}
+	return min(maxAsks, 1+int((c.now-r.asks[0].sentAt)/extraAskInterval))
+}
+
+// renewAsks drops slot requests that are no longer valid, so that others can be made, and
+// repeats those that have been queued for long.
+func (c *Core) renewAsks(r *request) {
+	r.asks = slices.DeleteFunc(r.asks, func(a *ask) bool {
+		switch a.state {
+		case askDenied:
+			return c.now >= a.server.busyUntil
+		case askUnanswered:
+			return !c.isUnresponsive(a.owner)
+		default:
+			return a.owner != a.server.owner
+		}
+	})
+	for _, a := range r.asks {
+		if a.state == askQueued && c.now-a.sentAt >= renewAskAfter {
+			a.sentAt = c.now
+			c.sendAsk(r, a)
+		}
+	}
+}
+
+func (c *Core) refusal(r *request) *verdict.Error {
+	switch {
+	case c.now >= r.Deadline:
+		return errDeadline
+	case !r.MayHaveRun && !c.anyReachable(r.Service):
+		return c.noServerError(r.Service)
+	}
+	if err := cmp.Or(c.crashRefusal(r), c.backoffRefusal(r)); err != nil {
+		return err
+	}
+	switch {
+	case !r.MayHaveRun && r.MaxWait > 0 && c.now-r.arrivedAt >= c.maxWait(r):
+		if c.waitsForTrial(r) {
+			return errOnTrial.WithRetryAfter(trialRetryAfter + c.retryAfter())
+		}
+		return errBusy.WithRetryAfter(c.retryAfter())
+	default:
+		return nil
+	}
+}
+
+// anyReachable reports whether any backend server of a service takes new requests and is
+// reachable from this router.
+func (c *Core) anyReachable(service string) bool {
+	return slices.ContainsFunc(c.service(service).servers, c.isReachable)
+}
+
+// isReachable reports whether a backend server takes new requests and its zone is reachable.
+func (c *Core) isReachable(s *server) bool { return s.isOpen() && !c.unreachableZones[s.Zone] }
+
+// updateUnreachableZones marks the zones that have known routers of which none is live.
+// Requests to their backend servers would fail only after a connection timeout, once per router
+// and backend server.
+func (c *Core) updateUnreachableZones() {
+	c.unreachableZones = map[string]bool{}
+	for zone, known := range c.routersByZone {
+		c.unreachableZones[zone] = known > 0 && zone != c.opt.self.Zone
+	}
+	for i := range c.routers {
+		delete(c.unreachableZones, c.routers[i].Zone)
+	}
+}
+
+// noServerError returns the refusal for a service of which no backend server takes new
+// requests.
+func (c *Core) noServerError(service string) *verdict.Error {
+	if slices.ContainsFunc(c.service(service).servers, func(s *server) bool { return s.zoneClosed }) {
+		return errZoneClosed.WithRetryAfter(retryAfterClosed)
+	}
+	return errNoServer.WithRetryAfter(retryAfterNoServer)
+}
+
+// maxWait returns how long a request may wait here. While a reply may have arrived without
+// having been processed yet, the request waits longer: a granted slot would otherwise be lost.
+func (c *Core) maxWait(r *request) time.Duration {
+	if !r.awaitsReply() {
+		return r.MaxWait
+	}
+	return r.MaxWait + delayFactor*c.delay
+}
+
+// retryAfter returns a random retry delay for a refused request.
+func (c *Core) retryAfter() time.Duration {
+	return minRetryAfter + time.Duration(c.rng.Int64N(int64(minRetryAfter)))
+}
+
+// awaitsReply reports whether any slot request has had no reply yet.
+func (r *request) awaitsReply() bool {
+	return slices.ContainsFunc(r.asks, func(a *ask) bool { return a.state == askSent })
+}
+
+func (r *request) isQueued() bool {
+	return slices.ContainsFunc(r.asks, func(a *ask) bool { return a.state == askQueued })
+}
+
+// expireAsks handles owners that did not reply in time. It reports whether the request was
+// admitted without a grant.
+func (c *Core) expireAsks(r *request) bool {
+	for _, a := range r.asks {
+		// Replies could not be processed during a pause of this process.
+		if a.state != askSent || c.now-max(a.sentAt, c.pause.to) < replyTimeout+delayFactor*c.delay {
+			continue
+		}
+		a.state = askUnanswered
+		c.unresponsiveSince[a.owner] = c.now
+		if c.admitLocally(r, a) {
+			return true
+		}
+	}
+	return false
+}
+
+func (c *Core) isUnresponsive(owner string) bool {
+	at, ok := c.unresponsiveSince[owner]
+	return ok && c.now-at < unresponsivePeriod
+}
+
+// admitLocally starts a request without a grant, on this router's own estimate of the load at
+// the backend server.
+func (c *Core) admitLocally(r *request, a *ask) bool {
+	s := a.server
+	if c.weighted != nil || !c.accepts(s) || s.isWarming(c.now) || float64(s.running(c.now)) >= localSlotFraction*float64(s.Slots) {
+		return false
+	}
+	if c.service(r.Service).engine && s.ownUnread() > 0 {
+		return false
+	}
+	r.unread = max(1, r.Prompt-r.Shared)
+	// Without a copy the engine would read the shared prefix again.
+	from := ""
+	if r.Prefix != 0 && !s.prefixes.has(r.Prefix, c.now) {
+		from = a.source.address()
+		c.recordCopy(s, r.Prefix)
+	}
+	c.startRequest(r, s, Start{FetchFrom: from, Reason: reasonOwnerTimeout, Running: s.running(c.now)})
+	c.notifyOwner(r, &wire.RequestUpdate{Kind: wire.RequestStarted, PrefillTokens: r.unread})
+	return true
+}
+
+// askOwner requests a slot from the owner of a backend server.
+func (c *Core) askOwner(r *request, s *server, reason string) {
+	a := &ask{server: s, owner: s.owner, sentAt: c.now, reason: reason, source: c.copySource(r, s), isolation: c.isolation(r)}
+	r.asks = append(r.asks, a)
+	if c.isUnresponsive(s.owner) {
+		a.state = askUnanswered
+		c.admitLocally(r, a)
+		return
+	}
+	c.sendAsk(r, a)
+}
+
+// sendAsk sends a slot request.
+func (c *Core) sendAsk(r *request, a *ask) {
+	s, reason := a.server, a.reason
+	target := r.Target
+	if target == 0 {
+		target = defaultTarget
+	}
+	if c.weighted != nil {
+		target -= time.Duration(r.Priority) * priorityStep
+	}
+	wait := r.Deadline - c.now
+	if r.MaxWait > 0 && !r.MayHaveRun {
+		wait = min(wait, r.arrivedAt+r.MaxWait-c.now)
+	}
+	c.send(s.owner, &wire.SlotRequest{
+		ID: r.ID, Server: s.key, Account: r.account, AccountRank: r.AccountRank, Rank: r.Rank,
+		Prefix: r.Prefix, PromptTokens: r.Prompt, SharedTokens: r.Shared,
+		TargetMillis: (r.arrivedAt + target - c.now).Milliseconds(), WaitMillis: wait.Milliseconds(), Spill: reason == reasonSpill,
+		MayHaveRun: r.MayHaveRun, CopyPrefix: a.source != nil, Exclusive: a.isolation == exclusive,
+	})
+}
+
+// handleReply processes an owner's reply to a slot request.
+func (c *Core) handleReply(from string, reply *wire.SlotReply) {
+	if s, ok := c.servers[reply.Server]; ok {
+		s.reported, s.reportedAt = occupancy{running: reply.Running, unread: reply.PrefillTokens}, c.now
+		if reply.State != wire.SlotGranted {
+			s.busyUntil = c.now + busyPeriod
+		}
+	}
+	r, ok := c.requests[reply.ID]
+	a := r.askOf(reply.Server)
+	if !ok || r.server != nil || a == nil {
+		if reply.State == wire.SlotGranted && (r == nil || r.server == nil || r.server.key != reply.Server) {
+			c.send(from, &wire.RequestUpdate{ID: reply.ID, Server: reply.Server, Kind: wire.RequestEnded, Result: uint8(Unknown)})
+		}
+		return
+	}
+	switch {
+	case reply.State == wire.SlotGranted && c.grantExpired(r, a):
+		c.send(from, &wire.RequestUpdate{ID: reply.ID, Server: reply.Server, Kind: wire.RequestEnded, Result: uint8(Unknown)})
+		a.state = askDenied
+		c.advance(r)
+	case reply.State == wire.SlotGranted:
+		c.startGranted(r, a, reply)
+	case reply.State == wire.SlotQueued:
+		a.state = askQueued
+		c.advance(r)
+	case reply.State == wire.SlotDenied:
+		a.state = askDenied
+		c.advance(r)
+	}
+}
+
+// grantExpired reports whether a granted slot must not be used: since the slot request was
+// sent, the backend server may have stopped taking requests, the account may have reached its
+// limits, the request may need stricter isolation or have passed its deadline, or the owner may
+// have reassigned the slot.
+func (c *Core) grantExpired(r *request, a *ask) bool {
+	return !c.accepts(a.server) || !c.withinLimits(r) || c.isolation(r) > a.isolation || c.waitsForTrial(r) || c.now >= r.Deadline || c.mayBeReassigned(a)
+}
+
+// mayBeReassigned reports whether the reply may have arrived during a pause of this process so
+// long that the owner has reassigned the slot.
+func (c *Core) mayBeReassigned(a *ask) bool {
+	long := c.pause.to-c.pause.from >= grantValidFor
+	return long && a.sentAt <= c.pause.from && c.now-c.pause.to < resumeGrace
+}
+
+func (r *request) askOf(server wire.NameHash) *ask {
+	if r == nil {
+		return nil
+	}
+	for _, a := range r.asks {
+		if a.server.key == server {
+			return a
+		}
+	}
+	return nil
+}
+
+// startGranted starts a request for which a slot was granted.
+func (c *Core) startGranted(r *request, a *ask, reply *wire.SlotReply) {
+	r.unread = reply.OwnPrefillTokens
+	if r.Prefix != 0 && (a.reason != reasonPreferred || reply.CopyPrefix || reply.OwnPrefillTokens > r.Prompt-r.Shared) {
+		c.recordCopy(a.server, r.Prefix)
+	}
+	from := ""
+	if reply.CopyPrefix {
+		from = a.source.address()
+	}
+	c.startRequest(r, a.server, Start{
+		FetchFrom: from, Reason: a.reason, TokensAhead: reply.TokensAhead, ExpectedDelay: time.Duration(reply.ExpectedMillis) * time.Millisecond, Running: reply.Running,
+	})
+}
+
+// maxCopies bounds the copies reported in one snapshot.
+const maxCopies = 64
+
+// recordCopy records that a backend server now has a prefix, and reports it to other routers
+// with the next snapshot.
+func (c *Core) recordCopy(s *server, prefix uint64) {
+	s.prefixes.add(prefix, c.now)
+	if len(c.newCopies) < maxCopies {
+		c.newCopies = append(c.newCopies, wire.PrefixCopy{Prefix: prefix, Server: s.key})
+	}
+}
--- a/pkg/admit/suspects.go
+++ b/pkg/admit/suspects.go
@@ -8,166 +8,168 @@
 )
 
 const (
-	// mostTold bounds the ends that routers tell each other of in one message: 256 of
-	// 21 bytes take 5 kB, and are those of four backend servers.
-	mostTold = 256
-	// mostWaitTold bounds those that wait to be told.
-	mostWaitTold = 4 * mostTold
+	// maxPerMessage bounds each list in a message about crashes. 256 crashes take 5 kB.
+	maxPerMessage = 256
+	// maxQueuedUpdates bounds each list of queued updates.
+	maxQueuedUpdates = 4 * maxPerMessage
 )
 
-// SuspectAdded is an action: a backend server ended while a request was under way there.
+// SuspectAdded is an action: a backend server crashed while a request was in flight there.
 type SuspectAdded struct {
 	Digest  suspect.Digest
 	Backend string
-	// Crashes is how many backend servers ended under the request.
+	// Crashes is the number of backend servers that crashed under the request.
 	Crashes int
-	// From is the router that told of it, "" if the request was this router's.
+	// From is the router that reported it, "" if this router held the request.
 	From string
 }
 
 func (SuspectAdded) action() {}
 
-// SuspectCleared is an action: ends of a request are not remembered any more.
+// SuspectCleared is an action: the crashes recorded for a request were removed.
 type SuspectCleared struct{ suspect.Cleared }
 
 func (SuspectCleared) action() {}
 
-// tellCleared says what has been forgotten of ends, or taken back.
-func (c *Core) tellCleared() {
-	for _, x := range c.suspects.DrainCleared() {
-		c.act(SuspectCleared{x})
+// emitCleared emits an action for each request whose crashes were removed.
+func (c *Core) emitCleared() {
+	for _, cleared := range c.suspects.DrainCleared() {
+		c.emit(SuspectCleared{cleared})
 	}
 }
 
-// noteEnd takes in that a backend server ended while a request of this router was under way
-// there.
-func (c *Core) noteEnd(s *server, e suspect.Crash) {
-	e.Server = suspect.Server(s.key)
-	if c.suspects.Record(c.now, e) {
-		c.act(SuspectAdded{Digest: e.Digest, Backend: s.Name, Crashes: c.suspects.Status(c.now, e.Digest).Crashes})
-		e.Extra = c.suspects.ExtraAllowed(e.Digest)
-		addBounded(&c.ownNews.ends, e)
+// recordCrash records that a backend server crashed while a request of this router was in
+// flight there.
+func (c *Core) recordCrash(s *server, crash suspect.Crash) {
+	crash.Server = suspect.Server(s.key)
+	if c.suspects.Record(c.now, crash) {
+		c.emit(SuspectAdded{Digest: crash.Digest, Backend: s.Name, Crashes: c.suspects.Status(c.now, crash.Digest).Crashes})
+		crash.Extra = c.suspects.ExtraAllowed(crash.Digest)
+		appendBounded(&c.ownUpdates.crashes, crash)
 	}
 }
 
-// suspectNews is what other routers are to be told of ends.
-type suspectNews struct {
-	ends []suspect.Crash
-	ran  []uint64
-	// begun, answers and over are requests of which a try runs, has begun to answer, or
-	// does not run any more.
-	begun, answers, over []uint64
+// suspectUpdates are changes to send to other routers.
+type suspectUpdates struct {
+	crashes   []suspect.Crash
+	completed []uint64
+	// started, answered and ended are suspect requests of which an attempt started, began to
+	// respond, or ended without a response.
+	started, answered, ended []uint64
 }
 
-func (n *suspectNews) empty() bool {
-	return len(n.ends)+len(n.ran)+len(n.begun)+len(n.answers)+len(n.over) == 0
+func (u *suspectUpdates) empty() bool {
+	return len(u.crashes)+len(u.completed)+len(u.started)+len(u.answered)+len(u.ended) == 0
 }
 
-// addBounded adds to a list of what waits to be told.
-func addBounded[T any](list *[]T, x T) {
-	if len(*list) < mostWaitTold {
+// appendBounded appends to a list of queued updates unless it is full.
+func appendBounded[T any](list *[]T, x T) {
+	if len(*list) < maxQueuedUpdates {
 		*list = append(*list, x)
 	}
 }
 
-// ranWhole takes in that a request has run to its end.
-func (c *Core) ranWhole(d suspect.Digest) {
+// markCompleted records that a request completed.
+func (c *Core) markCompleted(d suspect.Digest) {
 	if c.suspects.MarkCompleted(c.now, d) {
-		addBounded(&c.ownNews.ran, uint64(d))
+		appendBounded(&c.ownUpdates.completed, uint64(d))
 	}
 }
 
-// toldSuspects takes in what another router knows of ends. What is news is passed on.
-func (c *Core) toldSuspects(from string, m *wire.Suspects) {
-	for _, x := range m.Ends[:min(mostTold, len(m.Ends))] {
-		c.toldEnd(from, x)
+// handleSuspects applies another router's crash records, and queues those that were unknown for
+// relaying.
+func (c *Core) handleSuspects(from string, m *wire.SuspectUpdate) {
+	for _, x := range m.Crashes[:min(maxPerMessage, len(m.Crashes))] {
+		c.applyCrash(from, x)
 	}
-	for _, d := range m.Ran[:min(mostTold, len(m.Ran))] {
+	for _, d := range m.Completed[:min(maxPerMessage, len(m.Completed))] {
 		if c.suspects.MarkCompleted(c.now, suspect.Digest(d)) {
-			addBounded(&c.heardNews.ran, d)
+			appendBounded(&c.relayUpdates.completed, d)
 		}
 	}
-	c.toldTrials(from, m)
+	c.handleTrials(from, m)
 }
 
-func (c *Core) toldEnd(from string, x wire.SuspectEnd) {
-	if !isAgo(x.AgoMillis) || !isAgo(x.SentMillis) {
+func (c *Core) applyCrash(from string, m wire.SuspectCrash) {
+	if !isValidAge(m.AgoMillis) || !isValidAge(m.SentBeforeMillis) {
 		return
 	}
-	at := c.now - time.Duration(x.AgoMillis)*time.Millisecond
-	e := suspect.Crash{
-		Digest: suspect.Digest(x.Digest), Server: suspect.Server(x.Server), At: at, Sent: at - time.Duration(x.SentMillis)*time.Millisecond,
-		Unanswered: x.Unanswered, Extra: x.More,
+	at := c.now - time.Duration(m.AgoMillis)*time.Millisecond
+	crash := suspect.Crash{
+		Digest: suspect.Digest(m.Digest), Server: suspect.Server(m.Server), At: at, Sent: at - time.Duration(m.SentBeforeMillis)*time.Millisecond,
+		Unanswered: m.Unanswered, Extra: m.Extra,
 	}
 	name := ""
-	if s, ok := c.servers[x.Server]; ok {
+	if s, ok := c.servers[m.Server]; ok {
 		name = s.Name
-		if s.alive.holds(e.At) {
+		if s.alive.contains(crash.At) {
 			return
 		}
 	}
-	if c.suspects.Record(c.now, e) {
-		c.act(SuspectAdded{Digest: e.Digest, Backend: name, Crashes: c.suspects.Status(c.now, e.Digest).Crashes, From: from})
-		addBounded(&c.heardNews.ends, e)
+	if c.suspects.Record(c.now, crash) {
+		c.emit(SuspectAdded{Digest: crash.Digest, Backend: name, Crashes: c.suspects.Status(c.now, crash.Digest).Crashes, From: from})
+		appendBounded(&c.relayUpdates.crashes, crash)
 	}
 }
 
-// isAgo reports whether an end may be told of that was so long ago.
-func isAgo(millis int64) bool { return millis >= 0 && millis <= suspect.MaxRetention.Milliseconds() }
+// isValidAge reports whether an age in a message is within the time for which crashes are kept.
+func isValidAge(millis int64) bool {
+	return millis >= 0 && millis <= suspect.MaxRetention.Milliseconds()
+}
 
-// HasSuspectUpdates reports whether other routers are to be told of something at once.
-func (c *Core) HasSuspectUpdates() bool { return !c.ownNews.empty() }
+// HasSuspectUpdates reports whether there are updates to send to other routers at once.
+func (c *Core) HasSuspectUpdates() bool { return !c.ownUpdates.empty() }
 
-// TakeSuspectUpdates returns what other routers are to be told of ends since the last time: a
-// relay passes on what it heard.
-func (c *Core) TakeSuspectUpdates(now time.Duration, relay bool) []*wire.Suspects {
-	news := c.ownNews
+// TakeSuspectUpdates returns and clears the queued updates. A relay includes those that it
+// received.
+func (c *Core) TakeSuspectUpdates(now time.Duration, relay bool) []*wire.SuspectUpdate {
+	updates := c.ownUpdates
 	if relay {
-		news.ends = append(news.ends, c.heardNews.ends...)
-		news.ran = append(news.ran, c.heardNews.ran...)
-		news.begun = append(news.begun, c.heardNews.begun...)
-		news.answers = append(news.answers, c.heardNews.answers...)
-		news.over = append(news.over, c.heardNews.over...)
+		updates.crashes = append(updates.crashes, c.relayUpdates.crashes...)
+		updates.completed = append(updates.completed, c.relayUpdates.completed...)
+		updates.started = append(updates.started, c.relayUpdates.started...)
+		updates.answered = append(updates.answered, c.relayUpdates.answered...)
+		updates.ended = append(updates.ended, c.relayUpdates.ended...)
 	}
-	c.ownNews, c.heardNews = suspectNews{}, suspectNews{}
-	var list []*wire.Suspects
-	for !news.empty() {
-		list = append(list, &wire.Suspects{
-			Ends: toTell(now, cutFrom(&news.ends)), Ran: cutFrom(&news.ran),
-			Begun: cutFrom(&news.begun), Answers: cutFrom(&news.answers), Over: cutFrom(&news.over),
+	c.ownUpdates, c.relayUpdates = suspectUpdates{}, suspectUpdates{}
+	var list []*wire.SuspectUpdate
+	for !updates.empty() {
+		list = append(list, &wire.SuspectUpdate{
+			Crashes: crashMessages(now, takeChunk(&updates.crashes)), Completed: takeChunk(&updates.completed),
+			Retrying: takeChunk(&updates.started), Responding: takeChunk(&updates.answered), Ended: takeChunk(&updates.ended),
 		})
 	}
 	return list
 }
 
-// cutFrom takes from a list what one message holds.
-func cutFrom[T any](list *[]T) []T {
-	n := min(mostTold, len(*list))
-	cut := (*list)[:n]
+// takeChunk removes up to maxPerMessage items from a list and returns them.
+func takeChunk[T any](list *[]T) []T {
+	n := min(maxPerMessage, len(*list))
+	chunk := (*list)[:n]
 	*list = (*list)[n:]
-	return cut
+	return chunk
 }
 
-// WorstSuspects returns the worst of what is known of ends, for a router that has just been
-// heard or that may have missed something; nil if nothing is known.
-func (c *Core) WorstSuspects(now time.Duration) *wire.Suspects {
-	worst := c.suspects.TopCrashes(mostTold)
-	if len(worst) == 0 {
+// WorstSuspects returns the crashes of the requests with the most crashes, nil if there are
+// none. It is for routers that are new or may have missed updates.
+func (c *Core) WorstSuspects(now time.Duration) *wire.SuspectUpdate {
+	crashes := c.suspects.TopCrashes(maxPerMessage)
+	if len(crashes) == 0 {
 		return nil
 	}
-	return &wire.Suspects{Ends: toTell(now, worst)}
+	return &wire.SuspectUpdate{Crashes: crashMessages(now, crashes)}
 }
 
-func toTell(now time.Duration, ends []suspect.Crash) []wire.SuspectEnd {
-	list := make([]wire.SuspectEnd, 0, len(ends))
-	for _, e := range ends {
-		list = append(list, wire.SuspectEnd{Digest: uint64(e.Digest), Server: wire.Key(e.Server), AgoMillis: (now - e.At).Milliseconds(), SentMillis: (e.At - e.Sent).Milliseconds(), Unanswered: e.Unanswered, More: e.Extra})
+func crashMessages(now time.Duration, crashes []suspect.Crash) []wire.SuspectCrash {
+	list := make([]wire.SuspectCrash, 0, len(crashes))
+	for _, crash := range crashes {
+		list = append(list, wire.SuspectCrash{Digest: uint64(crash.Digest), Server: wire.NameHash(crash.Server), AgoMillis: (now - crash.At).Milliseconds(), SentBeforeMillis: (crash.At - crash.Sent).Milliseconds(), Unanswered: crash.Unanswered, Extra: crash.Extra})
 	}
 	return list
 }
 
-// SuspectCount returns how many requests are remembered that were at an end.
+// SuspectCount returns the number of requests with recorded crashes.
 func (c *Core) SuspectCount() int { return c.suspects.Len() }
 
-// Suspects returns the ends of the requests under which the most servers ended.
-func (c *Core) Suspects(most int) []suspect.Crash { return c.suspects.TopCrashes(most) }
+// Suspects returns the crashes of the requests with the most crashes.
+func (c *Core) Suspects(limit int) []suspect.Crash { return c.suspects.TopCrashes(limit) }
