--- a/test/soak/deadly_test.go
+++ b/test/soak/crash_test.go
@@ -18,9 +18,9 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			j := &judge{}
-			j.checkDeadly(tc.ends, tc.plan)
-			if got := len(j.breaches) > 0; got != tc.breach {
+			j := &checker{}
+			j.checkCrashes(tc.ends, tc.plan)
+			if got := len(j.violations) > 0; got != tc.breach {
 				t.Errorf("a breach: %v", got)
 			}
 		})
--- a/test/soak/fleet.go
+++ b/test/soak/fleet.go
@@ -109,7 +109,7 @@
 		return err
 	}
 	f.workers = append(f.workers, w)
-	w.EndOn(deadlyBody, func() { f.endsUnder.Add(1) })
+	w.EndOn(crashBody, func() { f.endsUnder.Add(1) })
 	link, err := newProxy(w.Address())
 	if err != nil {
 		return err
@@ -299,15 +299,15 @@
 	}
 	route := func(kind Kind, repeat, service string) standin.Route {
 		return standin.Route{
-			Name: string(kind), Kind: repeat, Service: service, Public: kind == Submit, Resumable: kind == Read,
+			Name: string(kind), Kind: repeat, Service: service, Public: kind == Submit, Resumable: kind == ResumableStream,
 			Attempts: 2, Timeout: 6 * time.Second, Target: 400 * time.Millisecond, Pause: 100 * time.Millisecond,
 		}
 	}
 	f.store.Configure(&standin.Config{
 		Version: f.version, Host: host, TokensPerSecond: 600000, Keys: map[string][]string{"moka": keys},
 		Routes: []standin.Route{
-			route(Read, standin.Streaming, serviceOf(0)), route(Once, standin.Streaming, serviceOf(0)),
-			route(Submit, standin.Unsafe, serviceOf(engines)), route(Look, standin.Safe, serviceOf(engines)),
+			route(ResumableStream, standin.Streaming, serviceOf(0)), route(PlainStream, standin.Streaming, serviceOf(0)),
+			route(Submit, standin.Unsafe, serviceOf(engines)), route(Lookup, standin.Safe, serviceOf(engines)),
 		},
 		Services: []standin.Service{
 			{Name: serviceOf(0), Slots: slots, Connections: 500}, {Name: serviceOf(engines), Connections: 500},
--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -162,7 +162,7 @@
 		return nil
 	}
 	at := calmStart + time.Duration(rng.Int64N(int64(length-calmStart)/2))
-	return []Step{{At: at, For: length - at, Fault: RequestDeadly, Target: rng.IntN(len(deadlyKinds))}}
+	return []Step{{At: at, For: length - at, Fault: RequestDeadly, Target: rng.IntN(len(crashKinds))}}
 }
 
 func strikesWorker(f Fault) bool {
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -33,7 +33,7 @@
 	Requests int
 	// By counts the answers by their status, 0 for none.
 	By       map[int]int
-	Breaches []Breach
+	Breaches []Violation
 	// Logs is where the routers' logs are; they are removed after a run without
 	// a breach.
 	Logs string
@@ -67,16 +67,16 @@
 		return Report{}, err
 	}
 	rep := Report{Seed: r.Seed, By: map[int]int{}, Logs: f.logs()}
-	j := &judge{}
+	j := &checker{}
 	t := &traffic{fleet: f, judge: j, seed: r.Seed, start: time.Now(), plant: r.Plant}
 	if err := r.awaitServing(t, "start"); err != nil {
 		return rep, err
 	}
 	r.play(f, j, t, &rep)
 	r.Log("%d workers ended under a request", f.endsUnder.Load())
-	j.checkDeadly(f.endsUnder.Load(), newPlan(r.Seed, r.Length, routers, workers))
-	rep.Breaches = j.verdict(f.runs())
-	for _, a := range j.answers {
+	j.checkCrashes(f.endsUnder.Load(), newPlan(r.Seed, r.Length, routers, workers))
+	rep.Breaches = j.evaluate(f.runs())
+	for _, a := range j.responses {
 		rep.Requests++
 		rep.By[a.Status]++
 	}
@@ -88,7 +88,7 @@
 
 // play lets callers and faults go on together, and looks that the fleet serves
 // again afterwards.
-func (r *Run) play(f *fleet, j *judge, t *traffic, rep *Report) {
+func (r *Run) play(f *fleet, j *checker, t *traffic, rep *Report) {
 	ctx, stop := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
 	tasks.Add(1)
@@ -100,9 +100,9 @@
 	rep.Faults = len(plan)
 	r.strike(f, j, t, plan)
 	if err := r.awaitServing(t, "end"); err != nil {
-		j.breach(RuleRecover, "-", err.Error())
+		j.report(RuleRecovery, "-", err.Error())
 	} else {
-		f.checkCopy(j, r.Plant)
+		f.checkRestore(j, r.Plant)
 	}
 	time.Sleep(calmEnd)
 	stop()
@@ -110,7 +110,7 @@
 }
 
 // strike plays the plan, and the planned work beside it.
-func (r *Run) strike(f *fleet, j *judge, t *traffic, plan []Step) {
+func (r *Run) strike(f *fleet, j *checker, t *traffic, plan []Step) {
 	var tasks sync.WaitGroup
 	at := func(when time.Duration, do func()) {
 		tasks.Add(1)
@@ -125,7 +125,7 @@
 		at(s.At, func() {
 			r.Log("%6.1f s  %s %d for %.1f s", time.Since(t.start).Seconds(), s.Fault, s.Target, s.For.Seconds())
 			if s.Fault == RequestDeadly {
-				t.deadly(s)
+				t.sendCrashing(s)
 				return
 			}
 			f.apply(s, &changes)
@@ -134,7 +134,7 @@
 	at(time.Duration(revokesAt*float64(r.Length)), func() {
 		changes.Lock()
 		defer changes.Unlock()
-		f.revoked = r.Plant != RuleKey
+		f.revoked = r.Plant != RuleRevokedKey
 		f.configure()
 		j.mu.Lock()
 		j.revokedAt = time.Since(t.start)
@@ -148,7 +148,7 @@
 		before := len(f.workers[leavingWorker].Runs())
 		time.Sleep(time.Second)
 		if more := f.workers[leavingWorker].Runs()[before:]; len(more) > 0 {
-			j.breach(RuleLeaving, more[0].ID, fmt.Sprintf("%d requests %s after the worker's mark", len(more), leftWithin))
+			j.report(RuleLeaving, more[0].ID, fmt.Sprintf("%d requests %s after the worker's mark", len(more), leftWithin))
 		}
 	})
 	tasks.Wait()
@@ -301,21 +301,21 @@
 
 // awaitServing waits until every router answers a request of each kind.
 func (r *Run) awaitServing(t *traffic, when string) error {
-	if r.Plant == RuleRecover && when == "end" {
+	if r.Plant == RuleRecovery && when == "end" {
 		for _, w := range t.fleet.workers[engines:] {
 			t.fleet.store.Remove(w.ID)
 		}
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	within := readyWithin
-	if r.Plant == RuleRecover {
+	if r.Plant == RuleRecovery {
 		within /= 4
 	}
 	end := time.Now().Add(within)
 	for i, router := range t.fleet.routers {
 		for _, kind := range kinds {
 			for n := 0; ; n++ {
-				a := answer{ID: fmt.Sprintf("%s-%d-%s-%d", when, i, kind, n), Kind: kind}
+				a := response{ID: fmt.Sprintf("%s-%d-%s-%d", when, i, kind, n), Kind: kind}
 				t.ask(client, router.front.address(), &a)
 				if a.Status == http.StatusOK {
 					break
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -56,7 +56,7 @@
 func whole(id string) string {
 	var b strings.Builder
 	for i := 1; i <= events; i++ {
-		b.WriteString(eventOf(id, i))
+		b.WriteString(eventText(id, i))
 	}
 	return b.String()
 }
@@ -66,39 +66,39 @@
 func TestJudge(t *testing.T) {
 	const revoked = 3 * time.Second
 	tests := map[string]struct {
-		answer answer
+		answer response
 		ran    int
 		want   string
 	}{
-		"answered":                     {answer{Kind: Submit, Status: 200, Body: "answer to x", Whole: true}, 1, ""},
-		"stream":                       {answer{Kind: Once, Status: 200, Body: whole("x"), Whole: true}, 1, ""},
-		"stream taken up elsewhere":    {answer{Kind: Read, Status: 200, Body: whole("x"), Whole: true}, 2, ""},
-		"stream cut visibly":           {answer{Kind: Once, Status: 200, Body: whole("x")[:100]}, 1, ""},
-		"no answer":                    {answer{Kind: Submit}, 1, ""},
-		"refused":                      {answer{Kind: Submit, Status: 503}, 0, ""},
-		"in doubt":                     {answer{Kind: Submit, Status: 502}, 1, ""},
-		"key taken away a moment ago":  {answer{Kind: Look, Status: 200, Body: "answer to x", Whole: true, Revoked: true, Sent: revoked + time.Second}, 1, ""},
-		"ran twice":                    {answer{Kind: Submit, Status: 200, Body: "answer to x", Whole: true}, 2, RuleTwice},
-		"stream ran twice":             {answer{Kind: Once}, 2, RuleTwice},
-		"refused and ran":              {answer{Kind: Submit, Status: 503}, 1, RuleRefused},
-		"over its share and ran":       {answer{Kind: Read, Status: 429}, 1, RuleRefused},
-		"another's answer":             {answer{Kind: Look, Status: 200, Body: "answer to y", Whole: true}, 1, RuleMixed},
-		"an answer that looks whole":   {answer{Kind: Look, Status: 200, Body: "answer", Whole: true}, 1, RuleMixed},
-		"stream with an event missing": {answer{Kind: Read, Status: 200, Body: strings.Replace(whole("x"), eventOf("x", 3), "", 1), Whole: true}, 1, RuleMixed},
-		"stream with an event twice":   {answer{Kind: Read, Status: 200, Body: eventOf("x", 1) + whole("x")}, 1, RuleMixed},
-		"stream that ends too soon":    {answer{Kind: Read, Status: 200, Body: eventOf("x", 1), Whole: true}, 1, RuleMixed},
-		"key taken away long ago":      {answer{Kind: Look, Status: 200, Body: "answer to x", Whole: true, Revoked: true, Sent: revoked + inForceWithin + 1}, 1, RuleKey},
+		"answered":                     {response{Kind: Submit, Status: 200, Body: "answer to x", Complete: true}, 1, ""},
+		"stream":                       {response{Kind: PlainStream, Status: 200, Body: whole("x"), Complete: true}, 1, ""},
+		"stream taken up elsewhere":    {response{Kind: ResumableStream, Status: 200, Body: whole("x"), Complete: true}, 2, ""},
+		"stream cut visibly":           {response{Kind: PlainStream, Status: 200, Body: whole("x")[:100]}, 1, ""},
+		"no answer":                    {response{Kind: Submit}, 1, ""},
+		"refused":                      {response{Kind: Submit, Status: 503}, 0, ""},
+		"in doubt":                     {response{Kind: Submit, Status: 502}, 1, ""},
+		"key taken away a moment ago":  {response{Kind: Lookup, Status: 200, Body: "answer to x", Complete: true, RevokedKey: true, SentAt: revoked + time.Second}, 1, ""},
+		"ran twice":                    {response{Kind: Submit, Status: 200, Body: "answer to x", Complete: true}, 2, RuleRanTwice},
+		"stream ran twice":             {response{Kind: PlainStream}, 2, RuleRanTwice},
+		"refused and ran":              {response{Kind: Submit, Status: 503}, 1, RuleRefusedButRan},
+		"over its share and ran":       {response{Kind: ResumableStream, Status: 429}, 1, RuleRefusedButRan},
+		"another's answer":             {response{Kind: Lookup, Status: 200, Body: "answer to y", Complete: true}, 1, RuleWrongBody},
+		"an answer that looks whole":   {response{Kind: Lookup, Status: 200, Body: "answer", Complete: true}, 1, RuleWrongBody},
+		"stream with an event missing": {response{Kind: ResumableStream, Status: 200, Body: strings.Replace(whole("x"), eventText("x", 3), "", 1), Complete: true}, 1, RuleWrongBody},
+		"stream with an event twice":   {response{Kind: ResumableStream, Status: 200, Body: eventText("x", 1) + whole("x")}, 1, RuleWrongBody},
+		"stream that ends too soon":    {response{Kind: ResumableStream, Status: 200, Body: eventText("x", 1), Complete: true}, 1, RuleWrongBody},
+		"key taken away long ago":      {response{Kind: Lookup, Status: 200, Body: "answer to x", Complete: true, RevokedKey: true, SentAt: revoked + propagationLimit + 1}, 1, RuleRevokedKey},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			j := &judge{revokedAt: revoked}
+			j := &checker{revokedAt: revoked}
 			tc.answer.ID = "x"
 			j.add(tc.answer)
 			var runs []standin.Run
 			for range tc.ran {
 				runs = append(runs, standin.Run{ID: "x"})
 			}
-			got := j.verdict(runs)
+			got := j.evaluate(runs)
 			if (tc.want == "") != (len(got) == 0) || len(got) > 0 && got[0].Rule != tc.want {
 				t.Errorf("breaches %v, want %q", got, tc.want)
 			}
--- a/test/soak/traffic.go
+++ b/test/soak/traffic.go
@@ -24,12 +24,12 @@
 	deadline = 3 * time.Second
 )
 
-var kinds = []Kind{Read, Once, Submit, Look}
+var kinds = []Kind{ResumableStream, PlainStream, Submit, Lookup}
 
 // traffic is the callers of one run.
 type traffic struct {
 	fleet *fleet
-	judge *judge
+	judge *checker
 	seed  uint64
 	start time.Time
 	plant string
@@ -55,12 +55,12 @@
 	defer client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
 		r := t.fleet.routers[rng.IntN(len(t.fleet.routers))]
-		a := answer{
-			ID: fmt.Sprintf("%x-%x-%x", t.seed, number, n), Kind: kinds[rng.IntN(len(kinds))], Sent: time.Since(t.start),
-			Revoked: rng.IntN(4) == 0,
+		a := response{
+			ID: fmt.Sprintf("%x-%x-%x", t.seed, number, n), Kind: kinds[rng.IntN(len(kinds))], SentAt: time.Since(t.start),
+			RevokedKey: rng.IntN(4) == 0,
 		}
 		// Who sends submit requests needs no key.
-		a.Revoked = a.Revoked && a.Kind != Submit
+		a.RevokedKey = a.RevokedKey && a.Kind != Submit
 		t.ask(client, r.front.address(), &a)
 		t.spoil(&a)
 		t.judge.add(a)
@@ -72,11 +72,11 @@
 }
 
 // ask sends one request and notes what came back.
-func (t *traffic) ask(client *http.Client, address string, a *answer) {
+func (t *traffic) ask(client *http.Client, address string, a *response) {
 	ctx, cancel := context.WithTimeout(context.Background(), deadline)
 	defer cancel()
 	with := key
-	if a.Revoked {
+	if a.RevokedKey {
 		with = keyRevoked
 	}
 	// Never GET, which the client would send again by itself.
@@ -94,23 +94,23 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	a.Status, a.Body, a.Whole = resp.StatusCode, string(body), err == nil
+	a.Status, a.Body, a.Complete = resp.StatusCode, string(body), err == nil
 }
 
 func pathOf(k Kind) string { return "/" + string(k) + "/x" }
 
 // spoil plants a fault, to show that the judge sees it.
-func (t *traffic) spoil(a *answer) {
+func (t *traffic) spoil(a *response) {
 	switch t.plant {
-	case RuleMixed:
+	case RuleWrongBody:
 		if a.Status == http.StatusOK && len(a.Body) > 0 {
 			a.Body = a.Body[1:]
 		}
-	case RuleRefused:
+	case RuleRefusedButRan:
 		if a.Status == http.StatusOK {
 			a.Status = http.StatusServiceUnavailable
 		}
-	case RuleTwice:
+	case RuleRanTwice:
 		if a.Kind == Submit && a.Status == http.StatusOK {
 			again := *a
 			t.plantAgain(&again)
@@ -120,7 +120,7 @@
 
 // plantAgain sends a request straight to a worker once more, as a faulty router
 // would.
-func (t *traffic) plantAgain(a *answer) {
+func (t *traffic) plantAgain(a *response) {
 	address := t.fleet.workers[engines].Address()
 	req, err := standin.NewRequest(context.Background(), address, host, pathOf(a.Kind), a.ID, key, deadline)
 	if err != nil {
