--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -92,7 +92,7 @@
 
 // Unclaim implements front.Scheduler.
 func (d *Dispatcher) Unclaim(cl front.Claim) {
-	d.post(voidClaimEvent{&wire.ClaimVoid{Key: scopedKey(cl), Request: cl.Request}})
+	d.post(voidClaimEvent{&wire.ClaimRelease{Key: scopedKey(cl), Request: cl.Request}})
 }
 
 type claimEvent struct{ *pendingClaim }
@@ -110,11 +110,11 @@
 	}
 }
 
-type voidClaimEvent struct{ msg *wire.ClaimVoid }
+type voidClaimEvent struct{ msg *wire.ClaimRelease }
 
 func (e voidClaimEvent) apply(s *state) { s.voidClaim(s.keys.homesOf(e.msg.Key, s.d.id.Zone), e.msg) }
 
-func (s *state) voidClaim(homes []string, msg *wire.ClaimVoid) {
+func (s *state) voidClaim(homes []string, msg *wire.ClaimRelease) {
 	for _, home := range homes {
 		s.sendOrHandle(home, msg)
 	}
@@ -155,14 +155,14 @@
 	switch m := msg.(type) {
 	case *wire.Claim:
 		s.sendOrHandle(from, s.keys.homes.Claim(s.now+s.keys.wallOffset, m))
-	case *wire.ClaimVoid:
+	case *wire.ClaimRelease:
 		s.keys.homes.Void(m)
-	case *wire.ClaimAnswer:
+	case *wire.ClaimReply:
 		s.handleClaimAnswer(from, m)
 	}
 }
 
-func (s *state) handleClaimAnswer(from string, m *wire.ClaimAnswer) {
+func (s *state) handleClaimAnswer(from string, m *wire.ClaimReply) {
 	cl, ok := s.keys.pending[m.Seq]
 	if !ok {
 		return
@@ -178,7 +178,7 @@
 func (s *state) finishClaim(cl *pendingClaim, state wire.ClaimState) {
 	delete(s.keys.pending, cl.msg.Seq)
 	if state != wire.ClaimGranted {
-		s.voidClaim(cl.homes, &wire.ClaimVoid{Key: cl.msg.Key, Request: cl.msg.Request})
+		s.voidClaim(cl.homes, &wire.ClaimRelease{Key: cl.msg.Key, Request: cl.msg.Request})
 	}
 	cl.answer <- claimError(state)
 }
--- a/internal/dispatch/fleet_model_test.go
+++ b/internal/dispatch/fleet_model_test.go
@@ -48,7 +48,7 @@
 }
 
 func (r *modelRouter) Inbox() <-chan peer.Inbound { return nil }
-func (r *modelRouter) Losses() <-chan peer.Lost   { return nil }
+func (r *modelRouter) Losses() <-chan peer.Loss   { return nil }
 
 // newFleetModel starts routers in three zones that know the table and ten backend servers per
 // router. The first three routers are seeds.
@@ -95,7 +95,7 @@
 func (f *fleetModel) deliver(m modelMessage) {
 	from, to := f.routers[m.from], f.routers[m.to]
 	to.now = f.now
-	messageEvent{peer.Inbound{From: m.from, Name: from.d.id.Name, Zone: from.d.id.Zone, Inc: from.d.id.Incarnation, Msg: m.msg}}.apply(to.state)
+	messageEvent{peer.Inbound{From: m.from, Name: from.d.id.Name, Zone: from.d.id.Zone, Incarnation: from.d.id.Incarnation, Msg: m.msg}}.apply(to.state)
 }
 
 // reader returns the router of reader rank 0.
--- a/internal/dispatch/uses.go
+++ b/internal/dispatch/uses.go
@@ -20,12 +20,12 @@
 // sendUsage sends a router the accounts' usage for a scope.
 func (s *state) sendUsage(to string, t *admit.Snapshot, scope wire.Scope) {
 	if s.d.opt.weighted && scope != wire.ScopeNone {
-		s.d.net.Send(to, &wire.Uses{Scope: scope, Accounts: t.Uses(scope, to)})
+		s.d.net.Send(to, &wire.Usage{Scope: scope, Accounts: t.Uses(scope, to)})
 	}
 }
 
 // handleUsage processes the accounts' usage sent by another router.
-func (s *state) handleUsage(from peer.Inbound, m *wire.Uses) {
+func (s *state) handleUsage(from peer.Inbound, m *wire.Usage) {
 	if s.acceptsScope(from, m.Scope) {
 		s.step(admit.PeerUsage{From: from.From, Zone: from.Zone, Msg: m})
 	}
--- a/pkg/admit/crash_world_test.go
+++ b/pkg/admit/crash_world_test.go
@@ -161,7 +161,7 @@
 		w.updateTable(func(t *table.Table) {
 			for i := range t.Backends {
 				if t.Backends[i].Name == server {
-					t.Backends[i].Born = int64(w.now)
+					t.Backends[i].StartTime = int64(w.now)
 				}
 			}
 		})
@@ -183,7 +183,7 @@
 		}
 	}
 	w.schedule(x.restartAfter, func() {
-		row.Born = int64(w.now)
+		row.StartTime = int64(w.now)
 		x.down[server] = false
 		w.updateTable(func(t *table.Table) { t.Backends = append(t.Backends, row) })
 	})
--- a/pkg/admit/notice.go
+++ b/pkg/admit/notice.go
@@ -50,7 +50,7 @@
 	}
 	s := r.server
 	if e.Leaving && c.markLeaving(s, "") {
-		c.send(s.owner, &wire.Leaving{Servers: []wire.Key{s.key}})
+		c.send(s.owner, &wire.Leaving{Servers: []wire.NameHash{s.key}})
 	}
 	if e.Backoff > 0 {
 		c.applyBackoff(s, e.Backoff)
@@ -130,7 +130,7 @@
 			continue
 		}
 		a.state = askDenied
-		c.send(a.owner, &wire.Note{ID: r.ID, Server: s.key, Kind: wire.NoteCancel})
+		c.send(a.owner, &wire.RequestUpdate{ID: r.ID, Server: s.key, Kind: wire.RequestCanceled})
 		c.advance(r)
 	}
 	if s.owned != nil {
@@ -142,7 +142,7 @@
 // that it is leaving.
 func (c *Core) notifyLeaving(s *server, to string) {
 	if s.announcedLeaving() && to != c.opt.self.Address {
-		c.send(to, &wire.Leaving{Servers: []wire.Key{s.key}})
+		c.send(to, &wire.Leaving{Servers: []wire.NameHash{s.key}})
 	}
 }
 
--- a/pkg/admit/owned.go
+++ b/pkg/admit/owned.go
@@ -43,7 +43,7 @@
 
 // slotRequest is a request that asks for a slot.
 type slotRequest struct {
-	*wire.Ask
+	*wire.SlotRequest
 	from string
 	// expiresAt is when the holder stops waiting, due when the first event is due.
 	expiresAt, due time.Duration
@@ -91,25 +91,25 @@
 }
 
 // handleAsk replies to a slot request.
-func (c *Core) handleAsk(from string, m *wire.Ask) {
+func (c *Core) handleAsk(from string, m *wire.SlotRequest) {
 	s, ok := c.servers[m.Server]
 	if !ok || !s.isOpen() {
 		if ok {
 			c.notifyLeaving(s, from)
 		}
-		c.send(from, &wire.Reply{ID: m.ID, Server: m.Server, State: wire.PlaceDenied})
+		c.send(from, &wire.SlotReply{ID: m.ID, Server: m.Server, State: wire.SlotDenied})
 		return
 	}
 	if c.weighted != nil && from != c.opt.self.Address {
-		c.weighted.notePeerWaiting(usageKey{wire.KeyOf(c.serviceOf(s).name), m.Account}, c.now)
+		c.weighted.notePeerWaiting(usageKey{wire.HashName(c.serviceOf(s).name), m.Account}, c.now)
 	}
 	o := c.ownerStateOf(s)
-	isFirstAsk := !m.Spill && !m.Begun
+	isFirstAsk := !m.Spill && !m.MayHaveRun
 	if isFirstAsk {
 		c.serviceOf(s).shortestTarget.observe(c.now, time.Duration(m.TargetMillis)*time.Millisecond)
 	}
 	a := &slotRequest{
-		Ask: m, from: from,
+		SlotRequest: m, from: from,
 		expiresAt: c.now + time.Duration(m.WaitMillis)*time.Millisecond,
 		due:       c.now + time.Duration(m.TargetMillis)*time.Millisecond,
 	}
@@ -120,59 +120,59 @@
 	switch {
 	case granted:
 	case m.Spill || c.now >= a.expiresAt || c.weighted != nil && s.owner != c.opt.self.Address:
-		c.reply(s, a, wire.PlaceDenied)
+		c.reply(s, a, wire.SlotDenied)
 	default:
 		o.queue = append(slices.DeleteFunc(o.queue, func(x *slotRequest) bool { return x.from == from && x.ID == m.ID }), a)
-		c.reply(s, a, wire.PlaceQueued)
+		c.reply(s, a, wire.SlotQueued)
 	}
 }
 
-func (c *Core) reply(s *server, a *slotRequest, state wire.PlaceState) {
+func (c *Core) reply(s *server, a *slotRequest, state wire.SlotState) {
 	o := c.ownerStateOf(s)
-	c.send(a.from, &wire.Reply{ID: a.ID, Server: s.key, State: state, Running: o.running, Unread: o.unread})
+	c.send(a.from, &wire.SlotReply{ID: a.ID, Server: s.key, State: state, Running: o.running, PrefillTokens: o.unread})
 }
 
 // tryGrant grants a slot if the backend server can take the request now.
 func (c *Core) tryGrant(s *server, a *slotRequest) bool {
 	o := c.ownerStateOf(s)
 	svc := c.serviceOf(s)
-	toRead := o.tokensToRead(a.Ask, c.now)
+	toRead := o.tokensToRead(a.SlotRequest, c.now)
 	if !c.canAdmit(svc, s, a, toRead) {
 		return false
 	}
-	fetch := a.Fetch && !o.hasPrefix(a.Ask, c.now)
+	fetch := a.CopyPrefix && !o.hasPrefix(a.SlotRequest, c.now)
 	e := &entry{unread: toRead, ahead: o.unread + toRead, startedAt: c.now, confirmedAt: c.now}
 	key := entryKey{a.from, a.ID}
 	o.add(key, e)
-	if a.Alone {
+	if a.Exclusive {
 		o.setExclusive(key, c.now)
 	}
 	c.recordStart(s)
 	if c.weighted != nil && a.from != c.opt.self.Address {
-		c.weighted.recordGrant(usageKey{wire.KeyOf(svc.name), a.Account}, c.now)
+		c.weighted.recordGrant(usageKey{wire.HashName(svc.name), a.Account}, c.now)
 	}
 	if a.Prefix != 0 {
 		o.prefixes.add(a.Prefix, c.now)
 	}
-	c.send(a.from, &wire.Reply{
-		ID: a.ID, Server: s.key, State: wire.PlaceGranted, Running: o.running, Unread: o.unread,
-		Fetch: fetch, Own: toRead, Ahead: e.ahead, ExpectedMillis: svc.latency.predict(e.ahead).Milliseconds(),
+	c.send(a.from, &wire.SlotReply{
+		ID: a.ID, Server: s.key, State: wire.SlotGranted, Running: o.running, PrefillTokens: o.unread,
+		CopyPrefix: fetch, OwnPrefillTokens: toRead, TokensAhead: e.ahead, ExpectedMillis: svc.latency.predict(e.ahead).Milliseconds(),
 	})
 	return true
 }
 
 // hasPrefix reports whether the backend server has the shared prefix of a prompt.
-func (o *ownerState) hasPrefix(m *wire.Ask, now time.Duration) bool {
+func (o *ownerState) hasPrefix(m *wire.SlotRequest, now time.Duration) bool {
 	return m.Prefix != 0 && o.prefixes.has(m.Prefix, now)
 }
 
 // tokensToRead returns the number of prompt tokens that are neither cached nor copied from
 // another backend server.
-func (o *ownerState) tokensToRead(m *wire.Ask, now time.Duration) int64 {
-	if m.Fetch || o.hasPrefix(m, now) {
-		return m.Prompt - m.Shared
+func (o *ownerState) tokensToRead(m *wire.SlotRequest, now time.Duration) int64 {
+	if m.CopyPrefix || o.hasPrefix(m, now) {
+		return m.PromptTokens - m.SharedTokens
 	}
-	return m.Prompt
+	return m.PromptTokens
 }
 
 // serveQueues grants the free slots of the backend servers owned here.
@@ -200,7 +200,7 @@
 		switch {
 		case c.now >= a.expiresAt || !s.isOpen():
 			c.notifyLeaving(s, a.from)
-			c.reply(s, a, wire.PlaceDenied)
+			c.reply(s, a, wire.SlotDenied)
 		case !c.tryGrant(s, a):
 			left = append(left, a)
 		}
@@ -218,11 +218,13 @@
 			return false
 		}
 		c.notifyLeaving(s, a.from)
-		c.reply(s, a, wire.PlaceDenied)
+		c.reply(s, a, wire.SlotDenied)
 		return true
 	})
 	for len(o.queue) > 0 {
-		first := slices.MinFunc(o.queue, func(a, b *slotRequest) int { return cmp.Or(trueFirst(a.Begun, b.Begun), c.compareVirtualTime(s, a, b)) })
+		first := slices.MinFunc(o.queue, func(a, b *slotRequest) int {
+			return cmp.Or(trueFirst(a.MayHaveRun, b.MayHaveRun), c.compareVirtualTime(s, a, b))
+		})
 		if !c.tryGrant(s, first) {
 			return
 		}
@@ -233,7 +235,7 @@
 // sortQueue orders slot requests: those that may have run go first, then by rank, by the
 // account's usage relative to its fair share, and by due time.
 func (c *Core) sortQueue(queue []*slotRequest) {
-	usage := make(map[wire.Key]float64, len(queue))
+	usage := make(map[wire.NameHash]float64, len(queue))
 	for _, a := range queue {
 		if _, ok := usage[a.Account]; !ok {
 			usage[a.Account] = c.accounts.usageRatio(a.Account, c.now)
@@ -241,7 +243,7 @@
 	}
 	slices.SortStableFunc(queue, func(a, b *slotRequest) int {
 		return cmp.Or(
-			trueFirst(a.Begun, b.Begun),
+			trueFirst(a.MayHaveRun, b.MayHaveRun),
 			cmp.Compare(a.AccountRank, b.AccountRank), cmp.Compare(a.Rank, b.Rank),
 			cmp.Compare(usage[a.Account], usage[b.Account]), cmp.Compare(a.due, b.due),
 		)
@@ -261,7 +263,7 @@
 }
 
 // handleRequestUpdate updates the owner's record of a request from a report of its holder.
-func (c *Core) handleRequestUpdate(from string, m *wire.Note) {
+func (c *Core) handleRequestUpdate(from string, m *wire.RequestUpdate) {
 	s, ok := c.servers[m.Server]
 	if !ok {
 		return
@@ -269,19 +271,19 @@
 	o := c.ownerStateOf(s)
 	key := entryKey{from, m.ID}
 	switch m.Kind {
-	case wire.NoteStarted:
-		o.add(key, &entry{unread: m.Unread, startedAt: c.now, confirmedAt: c.now})
+	case wire.RequestStarted:
+		o.add(key, &entry{unread: m.PrefillTokens, startedAt: c.now, confirmedAt: c.now})
 		c.recordStart(s)
 		return
-	case wire.NoteFirst:
+	case wire.RequestFirstEvent:
 		o.clearExclusive(key)
 		if e, ok := o.entries[key]; ok {
-			c.observeFirstEvent(s, e, time.Duration(m.Millis)*time.Millisecond)
+			c.observeFirstEvent(s, e, time.Duration(m.FirstEventMillis)*time.Millisecond)
 		}
-	case wire.NoteEnded:
+	case wire.RequestEnded:
 		s.recordOutcome(c.now, Result(m.Result))
 		o.remove(key)
-	case wire.NoteCancel:
+	case wire.RequestCanceled:
 		o.queue = slices.DeleteFunc(o.queue, func(a *slotRequest) bool { return a.from == from && a.ID == m.ID })
 	}
 	c.serveQueue(s)
@@ -303,8 +305,8 @@
 
 // reconcileInFlight replaces the owner's view of what one holder has in flight at some backend
 // servers with that holder's full list.
-func (c *Core) reconcileInFlight(from string, m *wire.Sync) {
-	for _, h := range m.Held {
+func (c *Core) reconcileInFlight(from string, m *wire.RequestSync) {
+	for _, h := range m.Servers {
 		if s, ok := c.servers[h.Server]; ok {
 			c.reconcileServer(s, from, h)
 			c.serveQueue(s)
@@ -312,7 +314,7 @@
 	}
 }
 
-func (c *Core) reconcileServer(s *server, from string, h wire.Held) {
+func (c *Core) reconcileServer(s *server, from string, h wire.ServerRequests) {
 	o := c.ownerStateOf(s)
 	listed := make(map[uint64]bool, len(h.IDs))
 	for i, id := range h.IDs {
@@ -322,8 +324,8 @@
 			e.confirmedAt = c.now
 			continue
 		}
-		if i < len(h.Unread) {
-			o.add(key, &entry{unread: h.Unread[i], startedAt: c.now, confirmedAt: c.now})
+		if i < len(h.PrefillTokens) {
+			o.add(key, &entry{unread: h.PrefillTokens[i], startedAt: c.now, confirmedAt: c.now})
 		}
 	}
 	for key, e := range o.entries {
--- a/pkg/admit/pressure.go
+++ b/pkg/admit/pressure.go
@@ -22,7 +22,7 @@
 
 // targetFraction returns the fraction of its target that a request of the account may use. It
 // falls with the account's usage above its fair share.
-func (c *Core) targetFraction(account wire.Key) float64 {
+func (c *Core) targetFraction(account wire.NameHash) float64 {
 	if account == 0 || c.weighted != nil {
 		return 1
 	}
@@ -38,13 +38,13 @@
 }
 
 // exceedsShare reports whether an account's demand or usage exceeds its fair share.
-func (c *Core) exceedsShare(account wire.Key) bool {
+func (c *Core) exceedsShare(account wire.NameHash) bool {
 	return account != 0 && (c.accounts.backlogged(account, c.now) || c.accounts.usageRatio(account, c.now) > penaltyThreshold)
 }
 
 // recordAdmission records whether a request of an account within its fair share got a slot at
 // once.
-func (c *Core) recordAdmission(account wire.Key, granted bool) {
+func (c *Core) recordAdmission(account wire.NameHash, granted bool) {
 	if account == 0 || c.accounts.backlogged(account, c.now) {
 		return
 	}
--- a/pkg/admit/request.go
+++ b/pkg/admit/request.go
@@ -49,7 +49,7 @@
 // request is a request that this router holds.
 type request struct {
 	Request
-	account   wire.Key
+	account   wire.NameHash
 	arrivedAt time.Duration
 	// cost is what the request is charged to its account, in tokens.
 	cost float64
@@ -134,7 +134,7 @@
 	r := &request{Request: e.Request, arrivedAt: c.now}
 	r.cost = Cost(r.Prompt, r.Output)
 	if r.Account != "" {
-		r.account = wire.KeyOf(r.Account)
+		r.account = wire.HashName(r.Account)
 		if !r.Retry {
 			c.accounts.get(r.account).addDemand(c.now, r.cost)
 		}
@@ -173,7 +173,7 @@
 	r.unread = 0
 	c.confirmAlive(r.server, r.startedAt)
 	c.endTrial(r, true)
-	c.notifyOwner(r, &wire.Note{Kind: wire.NoteFirst, Millis: (c.now - r.startedAt).Milliseconds()})
+	c.notifyOwner(r, &wire.RequestUpdate{Kind: wire.RequestFirstEvent, FirstEventMillis: (c.now - r.startedAt).Milliseconds()})
 }
 
 func (e AttemptEnd) apply(c *Core) {
@@ -218,11 +218,11 @@
 func (c *Core) release(r *request, result Result) {
 	delete(c.requests, r.ID)
 	delete(r.server.requests, r.ID)
-	c.notifyOwner(r, &wire.Note{Kind: wire.NoteEnded, Result: uint8(result)})
+	c.notifyOwner(r, &wire.RequestUpdate{Kind: wire.RequestEnded, Result: uint8(result)})
 }
 
 // notifyOwner sends a state change of a request to the owner of its backend server.
-func (c *Core) notifyOwner(r *request, n *wire.Note) {
+func (c *Core) notifyOwner(r *request, n *wire.RequestUpdate) {
 	n.ID, n.Server = r.ID, r.server.key
 	c.send(r.server.owner, n)
 }
@@ -251,7 +251,7 @@
 func (c *Core) cancelAsks(r *request, chosen *server) {
 	for _, a := range r.asks {
 		if a.server != chosen && a.isOpen() {
-			c.send(a.owner, &wire.Note{ID: r.ID, Server: a.server.key, Kind: wire.NoteCancel})
+			c.send(a.owner, &wire.RequestUpdate{ID: r.ID, Server: a.server.key, Kind: wire.RequestCanceled})
 		}
 	}
 }
--- a/pkg/admit/restart_test.go
+++ b/pkg/admit/restart_test.go
@@ -10,7 +10,7 @@
 
 // restartServer replaces the first backend server by a new incarnation.
 func restartServer(w *world, born int64) {
-	w.updateTable(func(t *table.Table) { t.Backends[0].Born = born })
+	w.updateTable(func(t *table.Table) { t.Backends[0].StartTime = born })
 }
 
 // TestRestartedServerIsNew: after a restart under the same name and address, a backend server
@@ -63,7 +63,7 @@
 			}
 			running, ahead := 0, int64(0)
 			for _, s := range w.starts {
-				if s.Backend.Born == last {
+				if s.Backend.StartTime == last {
 					running++
 					ahead = max(ahead, s.TokensAhead)
 				}
--- a/pkg/admit/server.go
+++ b/pkg/admit/server.go
@@ -12,7 +12,7 @@
 // server is the state of a backend server at this router.
 type server struct {
 	table.Backend
-	key wire.Key
+	key wire.NameHash
 	// addedAt is when this router first saw it in the directory.
 	addedAt time.Duration
 	// generation is that of the last table that listed it.
@@ -133,16 +133,16 @@
 // there.
 func (c *Core) sendHeld(s *server) {
 	if len(s.requests) > 0 || s.owner == c.opt.self.Address {
-		c.send(s.owner, &wire.Sync{Held: []wire.Held{s.heldRequests()}})
+		c.send(s.owner, &wire.RequestSync{Servers: []wire.ServerRequests{s.heldRequests()}})
 	}
 }
 
 // heldRequests lists the requests that this router has in flight at a backend server.
-func (s *server) heldRequests() wire.Held {
-	h := wire.Held{Server: s.key}
+func (s *server) heldRequests() wire.ServerRequests {
+	h := wire.ServerRequests{Server: s.key}
 	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
 		h.IDs = append(h.IDs, id)
-		h.Unread = append(h.Unread, s.requests[id].unread)
+		h.PrefillTokens = append(h.PrefillTokens, s.requests[id].unread)
 	}
 	return h
 }
@@ -157,15 +157,15 @@
 		return
 	}
 	c.syncedAt = c.now
-	held := map[string]*wire.Sync{}
+	held := map[string]*wire.RequestSync{}
 	for _, s := range c.sortedServers {
 		if len(s.requests) == 0 {
 			continue
 		}
 		if held[s.owner] == nil {
-			held[s.owner] = &wire.Sync{}
+			held[s.owner] = &wire.RequestSync{}
 		}
-		held[s.owner].Held = append(held[s.owner].Held, s.heldRequests())
+		held[s.owner].Servers = append(held[s.owner].Servers, s.heldRequests())
 	}
 	for _, owner := range slices.Sorted(maps.Keys(held)) {
 		c.send(owner, held[owner])
--- a/pkg/admit/suspects.go
+++ b/pkg/admit/suspects.go
@@ -78,11 +78,11 @@
 
 // handleSuspects applies another router's crash records, and queues those that were unknown for
 // relaying.
-func (c *Core) handleSuspects(from string, m *wire.Suspects) {
-	for _, x := range m.Ends[:min(maxPerMessage, len(m.Ends))] {
+func (c *Core) handleSuspects(from string, m *wire.SuspectUpdate) {
+	for _, x := range m.Crashes[:min(maxPerMessage, len(m.Crashes))] {
 		c.applyCrash(from, x)
 	}
-	for _, d := range m.Ran[:min(maxPerMessage, len(m.Ran))] {
+	for _, d := range m.Completed[:min(maxPerMessage, len(m.Completed))] {
 		if c.suspects.MarkCompleted(c.now, suspect.Digest(d)) {
 			appendBounded(&c.relayUpdates.completed, d)
 		}
@@ -90,14 +90,14 @@
 	c.handleTrials(from, m)
 }
 
-func (c *Core) applyCrash(from string, m wire.SuspectEnd) {
-	if !isValidAge(m.AgoMillis) || !isValidAge(m.SentMillis) {
+func (c *Core) applyCrash(from string, m wire.SuspectCrash) {
+	if !isValidAge(m.AgoMillis) || !isValidAge(m.SentBeforeMillis) {
 		return
 	}
 	at := c.now - time.Duration(m.AgoMillis)*time.Millisecond
 	crash := suspect.Crash{
-		Digest: suspect.Digest(m.Digest), Server: suspect.Server(m.Server), At: at, Sent: at - time.Duration(m.SentMillis)*time.Millisecond,
-		Unanswered: m.Unanswered, Extra: m.More,
+		Digest: suspect.Digest(m.Digest), Server: suspect.Server(m.Server), At: at, Sent: at - time.Duration(m.SentBeforeMillis)*time.Millisecond,
+		Unanswered: m.Unanswered, Extra: m.Extra,
 	}
 	name := ""
 	if s, ok := c.servers[m.Server]; ok {
@@ -122,7 +122,7 @@
 
 // TakeSuspectUpdates returns and clears the queued updates. A relay includes those that it
 // received.
-func (c *Core) TakeSuspectUpdates(now time.Duration, relay bool) []*wire.Suspects {
+func (c *Core) TakeSuspectUpdates(now time.Duration, relay bool) []*wire.SuspectUpdate {
 	updates := c.ownUpdates
 	if relay {
 		updates.crashes = append(updates.crashes, c.relayUpdates.crashes...)
@@ -132,11 +132,11 @@
 		updates.ended = append(updates.ended, c.relayUpdates.ended...)
 	}
 	c.ownUpdates, c.relayUpdates = suspectUpdates{}, suspectUpdates{}
-	var list []*wire.Suspects
+	var list []*wire.SuspectUpdate
 	for !updates.empty() {
-		list = append(list, &wire.Suspects{
-			Ends: crashMessages(now, takeChunk(&updates.crashes)), Ran: takeChunk(&updates.completed),
-			Begun: takeChunk(&updates.started), Answers: takeChunk(&updates.answered), Over: takeChunk(&updates.ended),
+		list = append(list, &wire.SuspectUpdate{
+			Crashes: crashMessages(now, takeChunk(&updates.crashes)), Completed: takeChunk(&updates.completed),
+			Retrying: takeChunk(&updates.started), Responding: takeChunk(&updates.answered), Ended: takeChunk(&updates.ended),
 		})
 	}
 	return list
@@ -152,18 +152,18 @@
 
 // WorstSuspects returns the crashes of the requests with the most crashes, nil if there are
 // none. It is for routers that are new or may have missed updates.
-func (c *Core) WorstSuspects(now time.Duration) *wire.Suspects {
+func (c *Core) WorstSuspects(now time.Duration) *wire.SuspectUpdate {
 	crashes := c.suspects.TopCrashes(maxPerMessage)
 	if len(crashes) == 0 {
 		return nil
 	}
-	return &wire.Suspects{Ends: crashMessages(now, crashes)}
+	return &wire.SuspectUpdate{Crashes: crashMessages(now, crashes)}
 }
 
-func crashMessages(now time.Duration, crashes []suspect.Crash) []wire.SuspectEnd {
-	list := make([]wire.SuspectEnd, 0, len(crashes))
+func crashMessages(now time.Duration, crashes []suspect.Crash) []wire.SuspectCrash {
+	list := make([]wire.SuspectCrash, 0, len(crashes))
 	for _, crash := range crashes {
-		list = append(list, wire.SuspectEnd{Digest: uint64(crash.Digest), Server: wire.Key(crash.Server), AgoMillis: (now - crash.At).Milliseconds(), SentMillis: (crash.At - crash.Sent).Milliseconds(), Unanswered: crash.Unanswered, More: crash.Extra})
+		list = append(list, wire.SuspectCrash{Digest: uint64(crash.Digest), Server: wire.NameHash(crash.Server), AgoMillis: (now - crash.At).Milliseconds(), SentBeforeMillis: (crash.At - crash.Sent).Milliseconds(), Unanswered: crash.Unanswered, Extra: crash.Extra})
 	}
 	return list
 }
--- a/pkg/admit/throttle_test.go
+++ b/pkg/admit/throttle_test.go
@@ -28,7 +28,7 @@
 // submitThrottled submits a request unless it is refused early. It reports whether it was
 // admitted.
 func (w *world) submitThrottled(router string, r admit.Request) bool {
-	key := wire.KeyOf(r.Account)
+	key := wire.HashName(r.Account)
 	if fraction, ok := w.cores[router].AdmitFractions(w.now)[key]; ok && w.rng.Float64() >= fraction {
 		w.cores[router].CountRefused(w.now, key, admit.Cost(r.Prompt, r.Output))
 		return false
--- a/test/soak/backup.go
+++ b/test/soak/backup.go
@@ -27,12 +27,12 @@
 // checkRestore has the store lose many changes that the routers know, and take a key away in the
 // first that it takes then: every router is to refuse it as soon as after any other change.
 func (f *fleet) checkRestore(j *checker, plant string) {
-	held := f.store.Copy()
+	held := f.store.Backup()
 	for i := range lostChanges {
 		f.store.Put("other/lost", i)
 	}
 	time.Sleep(changeDelay)
-	f.store.ComeBack(held, restoreDowntime, nil)
+	f.store.Restore(held, restoreDowntime, nil)
 	if plant != RuleBackup {
 		f.lastRevoked = true
 		f.configure()
