--- a/test/soak/backup.go
+++ b/test/soak/backup.go
@@ -9,39 +9,39 @@
 	"github.com/yarrowmast/yarrowmast/platform/standin"
 )
 
-// RuleBackup is the promise that what is written after the store came back from a copy comes into
-// force.
+// RuleBackup is the guarantee that routers apply what is written after the store was restored from
+// a backup.
 const RuleBackup = "copy"
 
 const (
-	// keyLast is a key that is taken away after the store has come back from its last copy.
-	keyLast = "secret-3"
-	// lostChanges is how many changes the store then loses, more than are written again.
+	// lastKey is revoked after the last restore of the store.
+	lastKey = "secret-3"
+	// lostChanges is how many changes that restore loses, more than are written afterwards.
 	lostChanges = 60
-	// restoreDowntime is for how long it is away, knownWithin within what time routers know of the
-	// changes before.
+	// restoreDowntime is how long the store is unavailable, changeDelay how long routers need to
+	// read the changes before it.
 	restoreDowntime = 200 * time.Millisecond
 	changeDelay     = 2 * time.Second
 )
 
-// checkRestore has the store lose many changes that the routers know, and take a key away in the
-// first that it takes then: every router is to refuse it as soon as after any other change.
-func (f *fleet) checkRestore(j *checker, plant string) {
-	held := f.store.Backup()
+// checkRestore restores the store from a backup that lacks many changes known to the routers, and
+// then revokes a key. Every router must refuse the key within propagationLimit.
+func (f *fleet) checkRestore(c *checker, plant string) {
+	backup := f.store.Backup()
 	for i := range lostChanges {
 		f.store.Put("other/lost", i)
 	}
 	time.Sleep(changeDelay)
-	f.store.Restore(held, restoreDowntime, nil)
+	f.store.Restore(backup, restoreDowntime, nil)
 	if plant != RuleBackup {
-		f.lastRevoked = true
-		f.configure()
+		f.lastKeyRevoked = true
+		f.publishConfig()
 	}
-	end := time.Now().Add(propagationLimit)
+	limit := time.Now().Add(propagationLimit)
 	for _, r := range f.routers {
 		for n := 0; !f.refusesLastKey(r, n); n++ {
-			if time.Now().After(end) {
-				j.report(RuleBackup, "-", fmt.Sprintf("%s serves a key %s after it was taken away and the store had come back from a copy", r.name, propagationLimit))
+			if time.Now().After(limit) {
+				c.report(RuleBackup, "-", fmt.Sprintf("%s accepts a key %s after it was revoked on a store restored from a backup", r.name, propagationLimit))
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -49,12 +49,12 @@
 	}
 }
 
-// refusesLastKey reports whether a router refuses the key that is taken away last.
-func (f *fleet) refusesLastKey(r *router, number int) bool {
+// refusesLastKey reports whether a router responds 401 to a request with lastKey.
+func (f *fleet) refusesLastKey(r *router, attempt int) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), deadline)
 	defer cancel()
-	id := fmt.Sprintf("copy-%s-%d", r.name, number)
-	req, err := standin.NewRequest(ctx, r.front.address(), host, pathOf(Lookup), id, keyLast, deadline)
+	id := fmt.Sprintf("copy-%s-%d", r.name, attempt)
+	req, err := standin.NewRequest(ctx, r.proxy.address(), host, pathOf(Lookup), id, lastKey, deadline)
 	if err != nil {
 		return false
 	}
--- a/test/soak/checker.go
+++ b/test/soak/checker.go
@@ -12,16 +12,16 @@
 	"github.com/yarrowmast/yarrowmast/platform/standin"
 )
 
-// Kind is a kind of request, which is also the first part of its path.
+// Kind is a kind of request. It is also the first segment of its path.
 type Kind string
 
 // The kinds of requests.
 const (
-	// ResumableStream is a stream that may be taken up elsewhere.
+	// ResumableStream is a stream that another worker may resume.
 	ResumableStream Kind = "read"
-	// PlainStream is a stream that may not.
+	// PlainStream is a stream that cannot be resumed.
 	PlainStream Kind = "once"
-	// Submit may run at most once, Look any number of times.
+	// Submit may run at most once, Lookup any number of times.
 	Submit Kind = "submit"
 	Lookup Kind = "look"
 )
@@ -31,22 +31,22 @@
 
 func (k Kind) isStream() bool { return k == ResumableStream || k == PlainStream }
 
-// response is what a caller saw of one request.
+// response is what a caller observed of one request.
 type response struct {
 	ID   string
 	Kind Kind
-	// SentAt is when it was sent, from the start of traffic.
+	// SentAt is the time since the start of traffic.
 	SentAt time.Duration
-	// Status is 0 if there was no answer.
+	// Status is 0 if there was no response.
 	Status int
 	Body   string
-	// Complete says that the answer ended as it should.
+	// Complete reports whether the body was read to its end without an error.
 	Complete bool
-	// RevokedKey says that it was sent with the key that is taken away.
+	// RevokedKey reports whether the request carried the key that is revoked during the run.
 	RevokedKey bool
 }
 
-// Violation is a promise that was broken.
+// Violation is a guarantee that the fleet did not keep.
 type Violation struct {
 	Rule, Request, Detail string
 }
@@ -55,7 +55,7 @@
 	return fmt.Sprintf("%s: request %s: %s", b.Rule, b.Request, b.Detail)
 }
 
-// The promises that are checked.
+// The guarantees that are checked.
 const (
 	RuleRanTwice      = "twice"
 	RuleRefusedButRan = "refused-but-ran"
@@ -66,48 +66,48 @@
 	RuleCrashes       = "deadly"
 )
 
-// checker collects what callers and workers saw.
+// checker collects what callers and workers observed.
 type checker struct {
 	mu        sync.Mutex
 	responses []response
-	// revokedAt is when the key was taken away; 0 if it was not.
+	// revokedAt is when the key was revoked, from the start of traffic; 0 if it was not.
 	revokedAt  time.Duration
 	violations []Violation
 }
 
-func (j *checker) add(a response) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.responses = append(j.responses, a)
+func (c *checker) add(a response) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.responses = append(c.responses, a)
 }
 
-func (j *checker) report(rule, request, detail string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.violations = append(j.violations, Violation{rule, request, detail})
+func (c *checker) report(rule, request, detail string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violations = append(c.violations, Violation{rule, request, detail})
 }
 
-// propagationLimit is how long a change may take until nothing follows the version
-// before: generous, since routers are paused and cut off from the store.
+// propagationLimit is how long routers may apply the previous version of the configuration. It
+// allows for routers that are paused or cannot reach the store.
 const propagationLimit = 8 * time.Second
 
-// evaluate returns the breaches of all that was seen.
-func (j *checker) evaluate(runs []standin.Run) []Violation {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// evaluate returns all violations, given what the workers ran.
+func (c *checker) evaluate(runs []standin.Run) []Violation {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	ran := map[string]int{}
 	for _, r := range runs {
 		ran[r.ID]++
 	}
-	list := slices.Clone(j.violations)
-	for _, a := range j.responses {
-		list = append(list, j.checkResponse(a, ran[a.ID])...)
+	list := slices.Clone(c.violations)
+	for _, a := range c.responses {
+		list = append(list, c.checkResponse(a, ran[a.ID])...)
 	}
 	slices.SortStableFunc(list, func(a, b Violation) int { return cmp.Compare(a.Rule, b.Rule) })
 	return list
 }
 
-func (j *checker) checkResponse(a response, ran int) []Violation {
+func (c *checker) checkResponse(a response, ran int) []Violation {
 	var list []Violation
 	add := func(rule, format string, args ...any) {
 		list = append(list, Violation{rule, a.ID, fmt.Sprintf(format, args...)})
@@ -116,32 +116,32 @@
 		add(RuleRanTwice, "a %s request ran %d times", a.Kind, ran)
 	}
 	if guaranteesNotRun(a.Status) && ran > 0 {
-		add(RuleRefusedButRan, "answered %d and ran %d times", a.Status, ran)
+		add(RuleRefusedButRan, "status %d, but ran %d times", a.Status, ran)
 	}
 	if a.Status == http.StatusOK {
 		if why := bodyError(a); why != "" {
 			add(RuleWrongBody, "%s", why)
 		}
-		if a.RevokedKey && j.revokedAt > 0 && a.SentAt > j.revokedAt+propagationLimit {
-			add(RuleRevokedKey, "answered %s after its key was taken away", a.SentAt-j.revokedAt)
+		if a.RevokedKey && c.revokedAt > 0 && a.SentAt > c.revokedAt+propagationLimit {
+			add(RuleRevokedKey, "accepted %s after its key was revoked", a.SentAt-c.revokedAt)
 		}
 	}
 	return list
 }
 
-// guaranteesNotRun reports whether a status says that the request did not run and
-// never will.
+// guaranteesNotRun reports whether a status guarantees that the request did not run and never
+// will.
 func guaranteesNotRun(status int) bool {
 	return slices.Contains([]int{
 		http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 	}, status)
 }
 
-// bodyError says what is wrong with the body of a success, "" if nothing is.
+// bodyError describes what is wrong with the body of a 200 response; "" if nothing is.
 func bodyError(a response) string {
 	if !a.Kind.isStream() {
 		if want := "answer to " + a.ID; a.Body != want && (a.Complete || !strings.HasPrefix(want, a.Body)) {
-			return fmt.Sprintf("the answer is %q", a.Body)
+			return fmt.Sprintf("unexpected body %q", a.Body)
 		}
 		return ""
 	}
@@ -151,15 +151,15 @@
 	}
 	switch {
 	case a.Complete && a.Body != want.String():
-		return fmt.Sprintf("a stream ended as whole with %d bytes of %d", len(a.Body), want.Len())
+		return fmt.Sprintf("stream ended without an error after %d of %d bytes", len(a.Body), want.Len())
 	case !strings.HasPrefix(want.String(), a.Body):
-		return fmt.Sprintf("a stream holds something else in its first %d bytes", len(a.Body))
+		return fmt.Sprintf("stream has unexpected content in its first %d bytes", len(a.Body))
 	default:
 		return ""
 	}
 }
 
-// eventText is an event of a stream, as the stand-in's workers write it.
+// eventText returns an event of a stream as the stand-in workers write it.
 func eventText(id string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: %s %d\n\n", number, id, number)
 }
--- a/test/soak/crash.go
+++ b/test/soak/crash.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// A request with this body ends the worker that runs it.
+// crashBody is the body of a request that crashes the worker that runs it.
 const crashBody = "page that ends the worker that reads it"
 
-// crashKinds are the kinds that it is sent as: those that the fleet may repeat.
+// crashKinds are the kinds that routers may retry.
 var crashKinds = []Kind{ResumableStream, Lookup}
 
 const (
-	// crashRetryInterval is the time between tries of its caller, backAfter when a worker that
-	// ended starts again.
+	// crashRetryInterval is the time between two attempts of the caller, restartDelay the time
+	// until a crashed worker starts again.
 	crashRetryInterval = 150 * time.Millisecond
 	restartDelay       = 500 * time.Millisecond
-	// maxCrashes is how many workers may end under one request.
+	// maxCrashes is how many workers one request may crash.
 	maxCrashes = 3
 )
 
-// sendCrashing has a caller try a sendCrashing request at all routers in turn, and has workers that
-// ended start again.
+// sendCrashing sends a crashing request to all routers in turn and restarts the workers that it
+// crashes.
 func (t *traffic) sendCrashing(s Step) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	until, seen := time.Now().Add(s.For), int64(0)
+	until, seen := time.Now().Add(s.Duration), int64(0)
 	for n := 0; time.Now().Before(until); n++ {
 		a := response{ID: fmt.Sprintf("deadly-%x-%d", t.seed, n), Kind: crashKinds[s.Target], Body: crashBody}
-		t.ask(client, t.fleet.routers[n%len(t.fleet.routers)].front.address(), &a)
-		if ends := t.fleet.endsUnder.Load(); ends > seen {
-			seen = ends
+		t.send(client, t.fleet.routers[n%len(t.fleet.routers)].proxy.address(), &a)
+		if crashes := t.fleet.crashes.Load(); crashes > seen {
+			seen = crashes
 			time.Sleep(restartDelay)
 			t.fleet.restartCrashed()
 		}
@@ -39,29 +39,28 @@
 	}
 }
 
-// restartCrashed starts the workers again that ended under a deadly request, each under a new
-// id, as those of the operators do.
+// restartCrashed restarts every crashed worker under a new id.
 func (f *fleet) restartCrashed() {
 	for i, w := range f.workers {
 		if !w.Crashed() {
 			continue
 		}
 		f.store.Deregister(w.ID)
-		w.SetID(fmt.Sprintf("i-%d-%d", i, f.endsUnder.Load()))
-		f.reborn(i)
+		w.SetID(fmt.Sprintf("i-%d-%d", i, f.crashes.Load()))
+		f.restartWorker(i)
 	}
 }
 
-// checkCrashes looks that no more workers ended than the rule allows. A router that starts
-// again, or wakes, may place a try before it hears what the others know.
-func (j *checker) checkCrashes(ends int64, plan []Step) {
-	most := int64(maxCrashes)
+// checkCrashes records a violation if one request crashed too many workers. Each router that is
+// restarted or resumed may send one more attempt before it learns of the crashes.
+func (c *checker) checkCrashes(crashes int64, plan []Step) {
+	allowed := int64(maxCrashes)
 	for _, s := range plan {
 		if slices.Contains([]Fault{Kill, Stop, Pause, Suspend}, s.Fault) {
-			most++
+			allowed++
 		}
 	}
-	if ends > most {
-		j.report(RuleCrashes, "-", fmt.Sprintf("%d workers ended under one request, %d may", ends, most))
+	if crashes > allowed {
+		c.report(RuleCrashes, "-", fmt.Sprintf("one request crashed %d workers, %d allowed", crashes, allowed))
 	}
 }
--- a/test/soak/fleet.go
+++ b/test/soak/fleet.go
@@ -21,58 +21,58 @@
 
 // The size of a fleet.
 const (
-	routers = 4
-	engines = 3
-	desks   = 2
-	workers = engines + desks
-	// slots is how many requests a worker says that it runs at once.
+	routers       = 4
+	streamWorkers = 3
+	plainWorkers  = 2
+	workers       = streamWorkers + plainWorkers
+	// slots is the number of slots that a worker announces.
 	slots = 64
-	// events is how many events a stream has, pause the time between them and
-	// that a plain request takes.
-	events = 20
-	pause  = 10 * time.Millisecond
+	// events is the number of events of a stream. eventInterval is the time between them, and the
+	// duration of a plain request.
+	events        = 20
+	eventInterval = 10 * time.Millisecond
 )
 
 // router is one router process.
 type router struct {
-	name, dir       string
-	callers, peers  string
-	admin           string
-	door            *standin.Endpoint
-	front           *proxy
-	mu              sync.Mutex
-	cmd             *exec.Cmd
-	exited          chan struct{}
-	settingsVersion int
-	// suspended is for how long the process that runs was suspended.
+	name, dir              string
+	callersAddr, peersAddr string
+	adminAddr              string
+	endpoint               *standin.Endpoint
+	proxy                  *proxy
+	mu                     sync.Mutex
+	cmd                    *exec.Cmd
+	exited                 chan struct{}
+	settingsVersion        int
+	// suspended is the total time for which the current process was suspended.
 	suspended time.Duration
-	// restarting is held while a fault ends and starts the process.
+	// restarting is held while a fault restarts the process.
 	restarting sync.Mutex
 }
 
-// fleet is all that runs for one seed.
+// fleet is the store, workers, routers and proxies of one run.
 type fleet struct {
-	binary  string
-	dir     string
-	store   *standin.Store
-	routers []*router
-	workers []*standin.Worker
-	links   []*proxy
-	ports   givenPorts
-	version int
-	// revoked and lastRevoked say that keyRevoked and keyLast were taken away.
-	revoked, lastRevoked bool
-	// endsUnder counts the workers that ended under a deadly request.
-	endsUnder atomic.Int64
-	// states are the last that workers wrote of themselves, by number.
-	statesMu sync.Mutex
-	states   map[int]string
+	binary        string
+	dir           string
+	store         *standin.Store
+	routers       []*router
+	workers       []*standin.Worker
+	links         []*proxy
+	ports         usedPorts
+	configVersion int
+	// firstKeyRevoked and lastKeyRevoked report whether revokedKey and lastKey are revoked.
+	firstKeyRevoked, lastKeyRevoked bool
+	// crashes counts the workers that crashed while they ran the crashing request.
+	crashes atomic.Int64
+	// entryStates are the states in the workers' entries, by index.
+	entriesMu   sync.Mutex
+	entryStates map[int]string
 }
 
 // newFleet starts the store, the workers and the routers.
 func newFleet(binary, dir string) (*fleet, error) {
-	f := &fleet{binary: binary, dir: dir, store: standin.NewStore(), ports: givenPorts{}, states: map[int]string{}}
-	f.configure()
+	f := &fleet{binary: binary, dir: dir, store: standin.NewStore(), ports: usedPorts{}, entryStates: map[int]string{}}
+	f.publishConfig()
 	for i := range workers {
 		if err := f.addWorker(i); err != nil {
 			return f, err
@@ -91,9 +91,9 @@
 	return f, nil
 }
 
-// serviceOf returns the service of a worker.
+// serviceOf returns the service of a worker, given its index.
 func serviceOf(worker int) string {
-	if worker < engines {
+	if worker < streamWorkers {
 		return "reader"
 	}
 	return "desk"
@@ -101,108 +101,109 @@
 
 func (f *fleet) addWorker(i int) error {
 	n := 0
-	if i < engines {
+	if i < streamWorkers {
 		n = events
 	}
-	w, err := standin.StartWorker(fmt.Sprintf("i-%d", i), n, pause)
+	w, err := standin.StartWorker(fmt.Sprintf("i-%d", i), n, eventInterval)
 	if err != nil {
 		return err
 	}
 	f.workers = append(f.workers, w)
-	w.CrashOn(crashBody, func() { f.endsUnder.Add(1) })
+	w.CrashOn(crashBody, func() { f.crashes.Add(1) })
 	link, err := newProxy(w.Address())
 	if err != nil {
 		return err
 	}
 	f.links = append(f.links, link)
-	f.enter(i, standin.Ready)
+	f.publishEntry(i, standin.Ready)
 	return nil
 }
 
-// enter writes a worker's entry, with the address of the way to it.
-func (f *fleet) enter(i int, state string) {
-	f.statesMu.Lock()
-	defer f.statesMu.Unlock()
-	f.states[i] = state
-	f.put(i)
+// publishEntry writes a worker's entry to the store. The address is that of the proxy in front of
+// the worker.
+func (f *fleet) publishEntry(i int, state string) {
+	f.entriesMu.Lock()
+	defer f.entriesMu.Unlock()
+	f.entryStates[i] = state
+	f.putEntry(i)
 }
 
-// enterAgain writes the last entry of a worker anew.
-func (f *fleet) enterAgain(i int) {
-	f.statesMu.Lock()
-	defer f.statesMu.Unlock()
-	f.put(i)
+// republishEntry writes a worker's entry again, with its state unchanged.
+func (f *fleet) republishEntry(i int) {
+	f.entriesMu.Lock()
+	defer f.entriesMu.Unlock()
+	f.putEntry(i)
 }
 
-// put writes a worker's entry. f.statesMu is held.
-func (f *fleet) put(i int) {
-	f.store.Register(f.workers[i], serviceOf(i), f.links[i].address(), f.states[i], slots)
+// putEntry writes a worker's entry. The caller holds f.entriesMu.
+func (f *fleet) putEntry(i int) {
+	f.store.Register(f.workers[i], serviceOf(i), f.links[i].address(), f.entryStates[i], slots)
 }
 
 func (f *fleet) addRouter(i int) error {
-	door, err := f.store.Listen()
+	endpoint, err := f.store.Listen()
 	if err != nil {
 		return err
 	}
-	r := &router{name: fmt.Sprintf("r-%d", i), dir: f.dir, door: door}
-	for _, address := range []*string{&r.callers, &r.peers, &r.admin} {
-		if *address, err = f.ports.freeAddress(drawPort); err != nil {
+	r := &router{name: fmt.Sprintf("r-%d", i), dir: f.dir, endpoint: endpoint}
+	for _, address := range []*string{&r.callersAddr, &r.peersAddr, &r.adminAddr} {
+		if *address, err = f.ports.freeAddress(randomPort); err != nil {
 			return err
 		}
 	}
-	if r.front, err = newProxy(r.callers); err != nil {
+	if r.proxy, err = newProxy(r.callersAddr); err != nil {
 		return err
 	}
 	f.routers = append(f.routers, r)
 	return nil
 }
 
-// The ports that routers get: below those that the system gives to outgoing
-// connections, which would take a router's while it is down.
+// Routers listen on ports below the ephemeral range, so that no outgoing connection takes the port
+// of a router that is down.
 const (
-	firstPort = 15000
-	lastPort  = 32000
-	portTries = 100
+	firstPort    = 15000
+	lastPort     = 32000
+	maxPortTries = 100
 )
 
 var errNoPort = errors.New("soak: no free port on loopback")
 
-func drawPort() int { return firstPort + rand.IntN(lastPort-firstPort) }
+func randomPort() int { return firstPort + rand.IntN(lastPort-firstPort) }
 
-// givenPorts are the ports that routers have been given: one that has not started yet
-// does not listen at its own.
-type givenPorts map[int]bool
+// usedPorts are the ports assigned to routers, which may not listen on them yet.
+type usedPorts map[int]bool
 
-// freeAddress returns an address at which nobody listens and that no router was given.
-func (g givenPorts) freeAddress(draw func() int) (string, error) {
-	for range portTries {
-		port := draw()
-		if g[port] {
+// freeAddress returns an address that is neither in use nor assigned to a router.
+func (p usedPorts) freeAddress(nextPort func() int) (string, error) {
+	for range maxPortTries {
+		port := nextPort()
+		if p[port] {
 			continue
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", port)
 		if ln, err := net.Listen("tcp", address); err == nil {
-			g[port] = true
+			p[port] = true
 			return address, ln.Close()
 		}
 	}
 	return "", errNoPort
 }
 
-func (r *router) settings() string { return filepath.Join(r.dir, r.name+".yaml") }
-func (r *router) log() string      { return filepath.Join(r.dir, r.name+".log") }
+func (r *router) settingsFile() string { return filepath.Join(r.dir, r.name+".yaml") }
+func (r *router) logFile() string      { return filepath.Join(r.dir, r.name+".log") }
 
-// suspensions is the file by which the process learns for how long it was suspended.
-func (r *router) suspensions() string { return filepath.Join(r.dir, r.name+".suspended") }
+// suspensionFile is the file from which the process reads for how long it was suspended.
+func (r *router) suspensionFile() string { return filepath.Join(r.dir, r.name+".suspended") }
 
-// writeSuspended has the steady clock of the process stand still for a time so far. r.mu is
-// held.
+// writeSuspended sets the total time that the monotonic clock of the process leaves out. The
+// caller holds r.mu.
 func (r *router) writeSuspended(d time.Duration) error {
 	r.suspended = d
-	return os.WriteFile(r.suspensions(), binary.LittleEndian.AppendUint64(nil, uint64(d)), 0o600)
+	return os.WriteFile(r.suspensionFile(), binary.LittleEndian.AppendUint64(nil, uint64(d)), 0o600)
 }
 
-// suspend stops the process for a time that its steady clock does not show.
+// suspend stops the process for d and hides that time from its monotonic clock, as a suspended
+// machine does.
 func (r *router) suspend(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -213,8 +214,8 @@
 	_ = r.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// write writes the router's settings; each version differs from the last.
-func (f *fleet) write(r *router) error {
+// writeSettings writes a new version of the router's settings file.
+func (f *fleet) writeSettings(r *router) error {
 	r.settingsVersion++
 	text := fmt.Sprintf(`name: %s
 zone: a
@@ -226,16 +227,16 @@
 drain_for: 4s
 drain_notice: 300ms
 log_level: info
-`, r.name, r.door.Address(), f.routers[0].peers, f.routers[1].peers, 100+r.settingsVersion, r.callers, r.peers, r.admin)
-	return os.WriteFile(r.settings(), []byte(text), 0o600)
+`, r.name, r.endpoint.Address(), f.routers[0].peersAddr, f.routers[1].peersAddr, 100+r.settingsVersion, r.callersAddr, r.peersAddr, r.adminAddr)
+	return os.WriteFile(r.settingsFile(), []byte(text), 0o600)
 }
 
 // start starts a router's process.
 func (f *fleet) start(r *router) error {
-	if err := f.write(r); err != nil {
+	if err := f.writeSettings(r); err != nil {
 		return err
 	}
-	out, err := os.OpenFile(r.log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(r.logFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -245,8 +246,8 @@
 	if err := r.writeSuspended(0); err != nil {
 		return err
 	}
-	cmd := exec.Command(f.binary, "--settings", r.settings())
-	cmd.Env = append(os.Environ(), "YARROWMAST_SOAK_SUSPENDED="+r.suspensions())
+	cmd := exec.Command(f.binary, "--settings", r.settingsFile())
+	cmd.Env = append(os.Environ(), "YARROWMAST_SOAK_SUSPENDED="+r.suspensionFile())
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("soak: start %s: %w", r.name, err)
@@ -260,17 +261,17 @@
 	return nil
 }
 
-// signal sends a signal to the process that was started last.
+// signal sends a signal to the current process.
 func (r *router) signal(s syscall.Signal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_ = r.cmd.Process.Signal(s)
 }
 
-var errStays = errors.New("soak: a router does not end")
+var errStillRunning = errors.New("soak: router did not exit in time")
 
-// await waits until the process has ended.
-func (r *router) await(ctx context.Context) error {
+// awaitExit waits until the process has exited.
+func (r *router) awaitExit(ctx context.Context) error {
 	r.mu.Lock()
 	exited := r.exited
 	r.mu.Unlock()
@@ -278,24 +279,24 @@
 	case <-exited:
 		return nil
 	case <-ctx.Done():
-		return errStays
+		return errStillRunning
 	}
 }
 
-// configure writes a new version of the configuration.
-func (f *fleet) configure() {
-	f.version += 3
-	f.configureAgain()
+// publishConfig writes a new version of the configuration.
+func (f *fleet) publishConfig() {
+	f.configVersion += 3
+	f.republishConfig()
 }
 
-// configureAgain writes the last version of the configuration.
-func (f *fleet) configureAgain() {
+// republishConfig writes the configuration again without a new version.
+func (f *fleet) republishConfig() {
 	keys := []string{key}
-	if !f.revoked {
-		keys = append(keys, keyRevoked)
+	if !f.firstKeyRevoked {
+		keys = append(keys, revokedKey)
 	}
-	if !f.lastRevoked {
-		keys = append(keys, keyLast)
+	if !f.lastKeyRevoked {
+		keys = append(keys, lastKey)
 	}
 	route := func(kind Kind, repeat, service string) standin.Route {
 		return standin.Route{
@@ -304,18 +305,18 @@
 		}
 	}
 	f.store.Configure(&standin.Config{
-		Version: f.version, Host: host, TokensPerSecond: 600000, Keys: map[string][]string{"moka": keys},
+		Version: f.configVersion, Host: host, TokensPerSecond: 600000, Keys: map[string][]string{"moka": keys},
 		Routes: []standin.Route{
 			route(ResumableStream, standin.Streaming, serviceOf(0)), route(PlainStream, standin.Streaming, serviceOf(0)),
-			route(Submit, standin.Unsafe, serviceOf(engines)), route(Lookup, standin.Safe, serviceOf(engines)),
+			route(Submit, standin.Unsafe, serviceOf(streamWorkers)), route(Lookup, standin.Safe, serviceOf(streamWorkers)),
 		},
 		Services: []standin.Service{
-			{Name: serviceOf(0), Slots: slots, MaxConnections: 500}, {Name: serviceOf(engines), MaxConnections: 500},
+			{Name: serviceOf(0), Slots: slots, MaxConnections: 500}, {Name: serviceOf(streamWorkers), MaxConnections: 500},
 		},
 	})
 }
 
-// runs returns what all workers ran.
+// runs returns the requests that all workers ran.
 func (f *fleet) runs() []standin.Run {
 	var list []standin.Run
 	for _, w := range f.workers {
@@ -324,15 +325,15 @@
 	return list
 }
 
-// close ends every process that was started here.
+// close kills the routers and closes the proxies, the workers and the store.
 func (f *fleet) close() {
 	for _, r := range f.routers {
 		if r.cmd != nil {
 			r.signal(syscall.SIGCONT)
 			r.signal(syscall.SIGKILL)
-			_ = r.await(context.Background())
+			_ = r.awaitExit(context.Background())
 		}
-		r.front.close()
+		r.proxy.close()
 	}
 	for _, l := range f.links {
 		l.close()
@@ -343,5 +344,5 @@
 	f.store.Close()
 }
 
-// logs returns where the routers' logs are.
-func (f *fleet) logs() string { return strings.Join([]string{f.dir, "r-*.log"}, "/") }
+// logPattern returns the glob pattern of the routers' log files.
+func (f *fleet) logPattern() string { return strings.Join([]string{f.dir, "r-*.log"}, "/") }
--- a/test/soak/main.go
+++ b/test/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak plays randomized faults against real router processes on
-// loopback, and checks the promises by what callers and workers see.
+// Command soak injects random faults into router processes on loopback, and checks the fleet's
+// guarantees against what callers and workers observe.
 package main
 
 import (
@@ -19,16 +19,16 @@
 }
 
 func run(args []string) int {
-	r := Run{Binary: "bin/yarrowmast", Seed: uint64(time.Now().UnixNano() % 1e9), Length: 12 * time.Second}
+	r := Run{Binary: "bin/yarrowmast", Seed: uint64(time.Now().UnixNano() % 1e9), Duration: 12 * time.Second}
 	seeds := 1
 	verbose := false
 	p := flaggy.NewParser("soak")
-	p.Description = "plays randomized faults against real routers on loopback"
-	p.String(&r.Binary, "b", "binary", "the router program")
-	p.UInt64(&r.Seed, "s", "seed", "the first seed; drawn by the time where none is given")
-	p.Int(&seeds, "n", "seeds", "how many seeds to play, one after the other")
-	p.Duration(&r.Length, "l", "length", "for how long faults are drawn")
-	p.String(&r.Plant, "p", "plant", "break a promise on purpose: twice, refused-but-ran, mixed, revoked-key, leaving, recover, copy")
+	p.Description = "injects random faults into router processes on loopback"
+	p.String(&r.Binary, "b", "binary", "path of the router binary")
+	p.UInt64(&r.Seed, "s", "seed", "the first seed; derived from the time if not given")
+	p.Int(&seeds, "n", "seeds", "number of seeds to run in sequence")
+	p.Duration(&r.Duration, "l", "length", "how long faults are injected")
+	p.String(&r.Plant, "p", "plant", "violate a guarantee on purpose: twice, refused-but-ran, mixed, revoked-key, leaving, recover, copy")
 	p.Bool(&verbose, "v", "verbose", "print each fault")
 	if err := p.ParseArgs(args); err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
@@ -46,12 +46,12 @@
 			fmt.Fprintf(os.Stderr, "soak: seed %d: %v\n", r.Seed, err)
 			return command.ExitUsage
 		}
-		if rep.print(); len(rep.Breaches) > 0 {
+		if rep.print(); len(rep.Violations) > 0 {
 			failed++
 		}
 		r.Seed++
 	}
-	fmt.Printf("%d seeds, %d with a promise broken\n", seeds, failed)
+	fmt.Printf("%d seeds, %d with violations\n", seeds, failed)
 	if failed > 0 {
 		return command.ExitFailed
 	}
@@ -60,14 +60,14 @@
 
 func (r *Report) print() {
 	fmt.Printf("seed %d: %d faults, %d requests:", r.Seed, r.Faults, r.Requests)
-	for _, status := range slices.Sorted(maps.Keys(r.By)) {
-		fmt.Printf(" %d of %d", r.By[status], status)
+	for _, status := range slices.Sorted(maps.Keys(r.ByStatus)) {
+		fmt.Printf(" %d of %d", r.ByStatus[status], status)
 	}
-	fmt.Printf("; %d breaches\n", len(r.Breaches))
-	for _, b := range r.Breaches[:min(len(r.Breaches), 10)] {
-		fmt.Println("  ", b)
+	fmt.Printf("; %d violations\n", len(r.Violations))
+	for _, v := range r.Violations[:min(len(r.Violations), 10)] {
+		fmt.Println("  ", v)
 	}
-	if len(r.Breaches) > 0 {
+	if len(r.Violations) > 0 {
 		fmt.Println("   logs:", r.Logs)
 	}
 }
--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -6,167 +6,165 @@
 	"time"
 )
 
-// Fault is a kind of trouble.
+// Fault names a kind of fault.
 type Fault string
 
 // The faults that a plan draws from.
 const (
-	// Kill ends a router and starts it again.
+	// Kill kills a router and restarts it.
 	Kill Fault = "kill"
-	// Pause stops a router's process for a while.
+	// Pause stops a router's process and resumes it.
 	Pause Fault = "pause"
-	// Stop ends a router as planned and starts it again.
+	// Stop terminates a router gracefully and restarts it.
 	Stop Fault = "stop"
-	// Reload changes a router's settings file, with or without a signal.
+	// Reload changes a router's settings file, with or without a SIGHUP.
 	Reload Fault = "reload"
-	// StoreBusy to StoreDeaf have the store treat a router badly.
-	StoreBusy   Fault = "store-busy"
-	StoreSilent Fault = "store-silent"
-	StoreReset  Fault = "store-reset"
-	StoreDeaf   Fault = "store-deaf"
-	// StoreForget has the store forget its history.
-	StoreForget Fault = "store-forget"
-	// StoreCopy has the store be away and come back from a copy, which lacks what was
-	// written while the fault lasted, in a new era. What was lost is written again.
-	StoreCopy Fault = "store-copy"
+	// StoreUnavailable to StoreNoChanges change how the store responds to one router.
+	StoreUnavailable  Fault = "store-busy"
+	StoreUnresponsive Fault = "store-silent"
+	StoreReset        Fault = "store-reset"
+	StoreNoChanges    Fault = "store-deaf"
+	// StoreCompact discards the history of the store.
+	StoreCompact Fault = "store-forget"
+	// StoreRestore restores the store from a backup that lacks what was written during the fault,
+	// after a downtime. What was lost is written again.
+	StoreRestore Fault = "store-copy"
 	// Configure writes a new version of the configuration.
 	Configure Fault = "configure"
-	// LinkSilent, LinkReset and LinkSlow harm the way to a worker.
-	LinkSilent Fault = "link-silent"
-	LinkReset  Fault = "link-reset"
-	LinkSlow   Fault = "link-slow"
+	// LinkBlocked, LinkReset and LinkSlow disturb the connections to a worker.
+	LinkBlocked Fault = "link-silent"
+	LinkReset   Fault = "link-reset"
+	LinkSlow    Fault = "link-slow"
 	// CallersReset resets the connections of a router's callers.
 	CallersReset Fault = "callers-reset"
-	// WorkerFails has a worker fail what it is sent, WorkerRefuses refuse it,
-	// WorkerCuts break a stream off, WorkerHangs fall silent in one.
-	WorkerFails   Fault = "worker-fails"
-	WorkerRefuses Fault = "worker-refuses"
-	WorkerCuts    Fault = "worker-cuts"
-	WorkerHangs   Fault = "worker-hangs"
-	// WorkerReborn has a worker crash and start again under its id and address.
-	WorkerReborn Fault = "worker-reborn"
-	// EntrySpoilt has another writer spoil a worker's entry, EntryStray write one that
-	// is spoilt under an id of its own.
-	EntrySpoilt Fault = "entry-spoilt"
-	EntryStray  Fault = "entry-stray"
-	// Suspend stops a router's process for a while, which its steady clock does not show.
+	// WorkerFails and WorkerRefuses let a worker fail or refuse all requests. WorkerDisconnects
+	// and WorkerStalls let it disconnect or stall halfway through a stream.
+	WorkerFails       Fault = "worker-fails"
+	WorkerRefuses     Fault = "worker-refuses"
+	WorkerDisconnects Fault = "worker-cuts"
+	WorkerStalls      Fault = "worker-hangs"
+	// WorkerRestart crashes a worker and restarts it with the same id and address.
+	WorkerRestart Fault = "worker-reborn"
+	// EntryCorrupt overwrites a worker's entry with a corrupt one, EntryUnknown writes a corrupt
+	// entry under an unknown id.
+	EntryCorrupt Fault = "entry-spoilt"
+	EntryUnknown Fault = "entry-stray"
+	// Suspend stops a router's process for a time that its monotonic clock does not show.
 	Suspend Fault = "suspend"
-	// RequestDeadly has a caller send a request under which workers end, again and again.
-	RequestDeadly Fault = "request-deadly"
+	// RequestCrashing repeats a request that crashes the workers that run it.
+	RequestCrashing Fault = "request-deadly"
 )
 
 var faults = []Fault{
-	Kill, Pause, Stop, Reload, StoreBusy, StoreSilent, StoreReset, StoreDeaf, StoreForget, Configure,
-	LinkSilent, LinkReset, LinkSlow, CallersReset, WorkerFails, WorkerRefuses, WorkerCuts, WorkerHangs,
+	Kill, Pause, Stop, Reload, StoreUnavailable, StoreUnresponsive, StoreReset, StoreNoChanges, StoreCompact, Configure,
+	LinkBlocked, LinkReset, LinkSlow, CallersReset, WorkerFails, WorkerRefuses, WorkerDisconnects, WorkerStalls,
 }
 
-// writerFaults are drawn beside the others, from numbers of their own, so that the faults
-// of a seed that was kept stay what they were.
-var writerFaults = []Fault{WorkerReborn, EntrySpoilt, EntryStray}
+// entryFaults are drawn from a random source of their own, so that older seeds keep their faults.
+var entryFaults = []Fault{WorkerRestart, EntryCorrupt, EntryUnknown}
 
 // Step is one fault of a plan.
 type Step struct {
-	// At is the time from the start of traffic, For how long the fault lasts.
-	At, For time.Duration
-	Fault   Fault
-	// Target is the number of the router or worker that is struck.
+	// At is the time from the start of traffic.
+	At, Duration time.Duration
+	Fault        Fault
+	// Target is the index of the affected router or worker.
 	Target int
 }
 
-// The bounds of what is drawn. Faults overlap, and end before the plan does.
+// Bounds of the random faults. Faults may overlap, and end before the plan does.
 const (
-	meanGap   = 600 * time.Millisecond
-	shortest  = 200 * time.Millisecond
-	longest   = 2500 * time.Millisecond
-	calmStart = time.Second
-	// suspendGaps is how many times meanGap lies between suspensions.
+	meanGap         = 600 * time.Millisecond
+	minDuration     = 200 * time.Millisecond
+	maxDuration     = 2500 * time.Millisecond
+	firstFaultAfter = time.Second
+	// suspendGaps is the mean time between suspensions, in units of meanGap.
 	suspendGaps = 6
-	// copyGaps is how many times meanGap lies between returns of the store from a copy.
-	copyGaps = 8
-	// writerGaps is how many times meanGap lies between the faults of writers.
-	writerGaps = 3
+	// restoreGaps is the mean time between restores of the store, in units of meanGap.
+	restoreGaps = 8
+	// entryGaps is the mean time between entryFaults, in units of meanGap.
+	entryGaps = 3
 )
 
 // newPlan draws the faults of a run from its seed.
 func newPlan(seed uint64, length time.Duration, routers, workers int) []Step {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	var plan []Step
-	at := calmStart
+	at := firstFaultAfter
 	for {
 		at += time.Duration(rng.ExpFloat64() * float64(meanGap))
-		if at >= length-shortest {
+		if at >= length-minDuration {
 			break
 		}
-		s := Step{At: at, For: shortest + time.Duration(rng.Int64N(int64(longest-shortest))), Fault: faults[rng.IntN(len(faults))]}
-		s.For = min(s.For, length-at)
+		s := Step{At: at, Duration: minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration))), Fault: faults[rng.IntN(len(faults))]}
+		s.Duration = min(s.Duration, length-at)
 		s.Target = rng.IntN(routers)
-		if strikesWorker(s.Fault) {
+		if targetsWorker(s.Fault) {
 			s.Target = rng.IntN(workers)
 		}
 		plan = append(plan, s)
 	}
-	plan = append(plan, drawWriters(rand.New(rand.NewPCG(seed, 1)), length, workers)...)
+	plan = append(plan, drawEntryFaults(rand.New(rand.NewPCG(seed, 1)), length, workers)...)
 	plan = append(plan, drawSuspensions(rand.New(rand.NewPCG(seed, 3)), length, routers)...)
-	plan = append(plan, drawCopies(rand.New(rand.NewPCG(seed, 4)), length)...)
-	plan = append(plan, drawDeadly(rand.New(rand.NewPCG(seed, 2)), length)...)
+	plan = append(plan, drawRestores(rand.New(rand.NewPCG(seed, 4)), length)...)
+	plan = append(plan, drawCrashing(rand.New(rand.NewPCG(seed, 2)), length)...)
 	slices.SortStableFunc(plan, func(a, b Step) int { return int(a.At - b.At) })
 	return plan
 }
 
-// drawWriters draws the faults of writers and of workers that start again.
-func drawWriters(rng *rand.Rand, length time.Duration, workers int) []Step {
+// drawEntryFaults draws corrupt entries and worker restarts.
+func drawEntryFaults(rng *rand.Rand, length time.Duration, workers int) []Step {
 	var plan []Step
-	for at := calmStart; ; {
-		at += time.Duration(rng.ExpFloat64() * writerGaps * float64(meanGap))
-		if at >= length-shortest {
+	for at := firstFaultAfter; ; {
+		at += time.Duration(rng.ExpFloat64() * entryGaps * float64(meanGap))
+		if at >= length-minDuration {
 			return plan
 		}
-		s := Step{At: at, For: shortest + time.Duration(rng.Int64N(int64(longest-shortest))), Fault: writerFaults[rng.IntN(len(writerFaults))], Target: rng.IntN(workers)}
-		s.For = min(s.For, length-at)
+		s := Step{At: at, Duration: minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration))), Fault: entryFaults[rng.IntN(len(entryFaults))], Target: rng.IntN(workers)}
+		s.Duration = min(s.Duration, length-at)
 		plan = append(plan, s)
 	}
 }
 
-// drawSuspensions draws when the machines of routers are suspended.
+// drawSuspensions draws suspensions of routers.
 func drawSuspensions(rng *rand.Rand, length time.Duration, routers int) []Step {
 	var plan []Step
-	for at := calmStart; ; {
+	for at := firstFaultAfter; ; {
 		at += time.Duration(rng.ExpFloat64() * suspendGaps * float64(meanGap))
-		if at >= length-shortest {
+		if at >= length-minDuration {
 			return plan
 		}
-		s := Step{At: at, For: shortest + time.Duration(rng.Int64N(int64(longest-shortest))), Fault: Suspend, Target: rng.IntN(routers)}
-		s.For = min(s.For, length-at)
+		s := Step{At: at, Duration: minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration))), Fault: Suspend, Target: rng.IntN(routers)}
+		s.Duration = min(s.Duration, length-at)
 		plan = append(plan, s)
 	}
 }
 
-// drawCopies draws when the store comes back from a copy.
-func drawCopies(rng *rand.Rand, length time.Duration) []Step {
+// drawRestores draws restores of the store from a backup.
+func drawRestores(rng *rand.Rand, length time.Duration) []Step {
 	var plan []Step
-	for at := calmStart; ; {
-		at += time.Duration(rng.ExpFloat64() * copyGaps * float64(meanGap))
-		if at >= length-shortest {
+	for at := firstFaultAfter; ; {
+		at += time.Duration(rng.ExpFloat64() * restoreGaps * float64(meanGap))
+		if at >= length-minDuration {
 			return plan
 		}
-		s := Step{At: at, For: shortest + time.Duration(rng.Int64N(int64(longest-shortest))), Fault: StoreCopy}
-		s.For = min(s.For, length-at)
+		s := Step{At: at, Duration: minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration))), Fault: StoreRestore}
+		s.Duration = min(s.Duration, length-at)
 		plan = append(plan, s)
 	}
 }
 
-// drawDeadly draws when one request under which workers end is sent, in half of the runs.
-// Its kind is that of Target.
-func drawDeadly(rng *rand.Rand, length time.Duration) []Step {
-	if rng.IntN(2) == 0 || length < 2*calmStart {
+// drawCrashing draws one crashing request, in half of the runs. Target is an index into crashKinds.
+func drawCrashing(rng *rand.Rand, length time.Duration) []Step {
+	if rng.IntN(2) == 0 || length < 2*firstFaultAfter {
 		return nil
 	}
-	at := calmStart + time.Duration(rng.Int64N(int64(length-calmStart)/2))
-	return []Step{{At: at, For: length - at, Fault: RequestDeadly, Target: rng.IntN(len(crashKinds))}}
+	at := firstFaultAfter + time.Duration(rng.Int64N(int64(length-firstFaultAfter)/2))
+	return []Step{{At: at, Duration: length - at, Fault: RequestCrashing, Target: rng.IntN(len(crashKinds))}}
 }
 
-func strikesWorker(f Fault) bool {
+func targetsWorker(f Fault) bool {
 	return slices.Contains([]Fault{
-		LinkSilent, LinkReset, LinkSlow, WorkerFails, WorkerRefuses, WorkerCuts, WorkerHangs, WorkerReborn, EntrySpoilt, EntryStray,
+		LinkBlocked, LinkReset, LinkSlow, WorkerFails, WorkerRefuses, WorkerDisconnects, WorkerStalls, WorkerRestart, EntryCorrupt, EntryUnknown,
 	}, f)
 }
--- a/test/soak/proxy.go
+++ b/test/soak/proxy.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// proxy passes connections on to an address on loopback, and harms them.
+// proxy forwards connections to an address on loopback, and can delay, block or reset them.
 type proxy struct {
-	ln net.Listener
-	to string
-	// silent holds all bytes back, slow delays each piece.
-	silent, slow atomic.Bool
-	mu           sync.Mutex
-	conns        map[net.Conn]bool
+	ln     net.Listener
+	target string
+	// blocked holds all bytes back, slow delays each read.
+	blocked, slow atomic.Bool
+	mu            sync.Mutex
+	conns         map[net.Conn]bool
 }
 
-// slowBy is the delay of each piece on a slow way.
-const slowBy = 30 * time.Millisecond
+// slowDelay is the delay of each read while the proxy is slow.
+const slowDelay = 30 * time.Millisecond
 
 func newProxy(to string) (*proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("soak: proxy: %w", err)
 	}
-	p := &proxy{ln: ln, to: to, conns: map[net.Conn]bool{}}
+	p := &proxy{ln: ln, target: to, conns: map[net.Conn]bool{}}
 	go p.run()
 	return p, nil
 }
@@ -51,33 +51,33 @@
 
 func (p *proxy) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
-	up, err := net.DialTimeout("tcp", p.to, time.Second)
+	up, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
 		return
 	}
 	defer func() { _ = up.Close() }()
-	p.keep(c, up)
-	defer p.drop(c, up)
+	p.track(c, up)
+	defer p.untrack(c, up)
 	done := make(chan struct{}, 2)
-	copyOne := func(to, from net.Conn) {
-		p.copy(to, from)
+	forwardOne := func(to, from net.Conn) {
+		p.forward(to, from)
 		done <- struct{}{}
 	}
-	go copyOne(up, c)
-	go copyOne(c, up)
+	go forwardOne(up, c)
+	go forwardOne(c, up)
 	<-done
 }
 
-// copy passes bytes one way until the end.
-func (p *proxy) copy(to, from net.Conn) {
+// forward copies bytes in one direction until the connection ends.
+func (p *proxy) forward(to, from net.Conn) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
 		if p.slow.Load() {
-			time.Sleep(slowBy)
+			time.Sleep(slowDelay)
 		}
-		for p.silent.Load() {
-			time.Sleep(slowBy)
+		for p.blocked.Load() {
+			time.Sleep(slowDelay)
 		}
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
@@ -86,30 +86,30 @@
 		}
 		if err != nil {
 			if err != io.EOF {
-				unlinger(to)
+				resetOnClose(to)
 			}
 			return
 		}
 	}
 }
 
-// reset resets every connection that is open.
+// reset resets every open connection.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		unlinger(c)
+		resetOnClose(c)
 		_ = c.Close()
 	}
 }
 
-func unlinger(c net.Conn) {
+func resetOnClose(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 }
 
-func (p *proxy) keep(conns ...net.Conn) {
+func (p *proxy) track(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (p *proxy) drop(conns ...net.Conn) {
+func (p *proxy) untrack(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -13,49 +13,48 @@
 	"github.com/yarrowmast/yarrowmast/platform/standin"
 )
 
-// Run is one run of the soak.
+// Run is one soak run.
 type Run struct {
-	// Binary is the router program.
+	// Binary is the path of the router binary.
 	Binary string
 	Seed   uint64
-	// Length is for how long faults are drawn.
-	Length time.Duration
-	// Plant is the rule that is broken on purpose, "" for none.
+	// Duration is how long faults are injected.
+	Duration time.Duration
+	// Plant is the rule that is violated on purpose, "" for none.
 	Plant string
-	// Log is called with a line for each fault.
+	// Log is called once for each fault.
 	Log func(format string, args ...any)
 }
 
-// Report is how a run ended.
+// Report is the result of a run.
 type Report struct {
 	Seed     uint64
 	Faults   int
 	Requests int
-	// By counts the answers by their status, 0 for none.
-	By       map[int]int
-	Breaches []Violation
-	// Logs is where the routers' logs are; they are removed after a run without
-	// a breach.
+	// ByStatus counts responses by status; 0 stands for no response.
+	ByStatus   map[int]int
+	Violations []Violation
+	// Logs is the glob pattern of the routers' log files, which are removed after a run without
+	// violations.
 	Logs string
 }
 
 const (
-	// readyWithin is how long routers may take to serve at the start, and again
-	// after the last fault.
-	readyWithin = 20 * time.Second
-	// calmEnd is for how long requests go on after the last fault.
-	calmEnd = 2 * time.Second
-	// leavesAt and revokesAt are the parts of a run after which a worker leaves
-	// and a key is taken away.
-	leavesAt  = 0.4
-	revokesAt = 0.3
-	// leavingWorker is the one that leaves.
-	leavingWorker = 0
-	// leftWithin is how long a worker that leaves may still get new requests.
-	leftWithin = 6 * time.Second
+	// readyTimeout is how long routers may take to serve, at the start and after the last fault.
+	readyTimeout = 20 * time.Second
+	// quietPeriod is how long callers send requests after the last fault.
+	quietPeriod = 2 * time.Second
+	// drainFraction and revokeFraction are the fractions of a run after which a worker is marked
+	// draining and a key is revoked.
+	drainFraction  = 0.4
+	revokeFraction = 0.3
+	// drainingWorker is the index of the worker that is marked draining.
+	drainingWorker = 0
+	// drainLimit is how long a draining worker may still receive new requests.
+	drainLimit = 6 * time.Second
 )
 
-// Play plays one run.
+// Play executes the run.
 func (r *Run) Play() (Report, error) {
 	dir, err := os.MkdirTemp("", "yarrowmast-soak-")
 	if err != nil {
@@ -66,29 +65,28 @@
 	if err != nil {
 		return Report{}, err
 	}
-	rep := Report{Seed: r.Seed, By: map[int]int{}, Logs: f.logs()}
-	j := &checker{}
-	t := &traffic{fleet: f, judge: j, seed: r.Seed, start: time.Now(), plant: r.Plant}
+	rep := Report{Seed: r.Seed, ByStatus: map[int]int{}, Logs: f.logPattern()}
+	c := &checker{}
+	t := &traffic{fleet: f, checker: c, seed: r.Seed, start: time.Now(), plant: r.Plant}
 	if err := r.awaitServing(t, "start"); err != nil {
 		return rep, err
 	}
-	r.play(f, j, t, &rep)
-	r.Log("%d workers ended under a request", f.endsUnder.Load())
-	j.checkCrashes(f.endsUnder.Load(), newPlan(r.Seed, r.Length, routers, workers))
-	rep.Breaches = j.evaluate(f.runs())
-	for _, a := range j.responses {
+	r.play(f, c, t, &rep)
+	r.Log("%d workers crashed under a request", f.crashes.Load())
+	c.checkCrashes(f.crashes.Load(), newPlan(r.Seed, r.Duration, routers, workers))
+	rep.Violations = c.evaluate(f.runs())
+	for _, a := range c.responses {
 		rep.Requests++
-		rep.By[a.Status]++
+		rep.ByStatus[a.Status]++
 	}
-	if len(rep.Breaches) == 0 {
+	if len(rep.Violations) == 0 {
 		_ = os.RemoveAll(dir)
 	}
 	return rep, nil
 }
 
-// play lets callers and faults go on together, and looks that the fleet serves
-// again afterwards.
-func (r *Run) play(f *fleet, j *checker, t *traffic, rep *Report) {
+// play injects faults under traffic, then checks that the fleet serves again.
+func (r *Run) play(f *fleet, c *checker, t *traffic, rep *Report) {
 	ctx, stop := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
 	tasks.Add(1)
@@ -96,21 +94,21 @@
 		defer tasks.Done()
 		t.run(ctx)
 	}()
-	plan := newPlan(r.Seed, r.Length, routers, workers)
+	plan := newPlan(r.Seed, r.Duration, routers, workers)
 	rep.Faults = len(plan)
-	r.strike(f, j, t, plan)
+	r.injectFaults(f, c, t, plan)
 	if err := r.awaitServing(t, "end"); err != nil {
-		j.report(RuleRecovery, "-", err.Error())
+		c.report(RuleRecovery, "-", err.Error())
 	} else {
-		f.checkRestore(j, r.Plant)
+		f.checkRestore(c, r.Plant)
 	}
-	time.Sleep(calmEnd)
+	time.Sleep(quietPeriod)
 	stop()
 	tasks.Wait()
 }
 
-// strike plays the plan, and the planned work beside it.
-func (r *Run) strike(f *fleet, j *checker, t *traffic, plan []Step) {
+// injectFaults injects the planned faults, revokes a key and drains a worker.
+func (r *Run) injectFaults(f *fleet, c *checker, t *traffic, plan []Step) {
 	var tasks sync.WaitGroup
 	at := func(when time.Duration, do func()) {
 		tasks.Add(1)
@@ -123,152 +121,152 @@
 	var changes sync.Mutex
 	for _, s := range plan {
 		at(s.At, func() {
-			r.Log("%6.1f s  %s %d for %.1f s", time.Since(t.start).Seconds(), s.Fault, s.Target, s.For.Seconds())
-			if s.Fault == RequestDeadly {
+			r.Log("%6.1f s  %s %d for %.1f s", time.Since(t.start).Seconds(), s.Fault, s.Target, s.Duration.Seconds())
+			if s.Fault == RequestCrashing {
 				t.sendCrashing(s)
 				return
 			}
 			f.apply(s, &changes)
 		})
 	}
-	at(time.Duration(revokesAt*float64(r.Length)), func() {
+	at(time.Duration(revokeFraction*float64(r.Duration)), func() {
 		changes.Lock()
 		defer changes.Unlock()
-		f.revoked = r.Plant != RuleRevokedKey
-		f.configure()
-		j.mu.Lock()
-		j.revokedAt = time.Since(t.start)
-		j.mu.Unlock()
+		f.firstKeyRevoked = r.Plant != RuleRevokedKey
+		f.publishConfig()
+		c.mu.Lock()
+		c.revokedAt = time.Since(t.start)
+		c.mu.Unlock()
 	})
-	at(time.Duration(leavesAt*float64(r.Length)), func() {
+	at(time.Duration(drainFraction*float64(r.Duration)), func() {
 		if r.Plant != RuleLeaving {
-			f.enter(leavingWorker, standin.Draining)
+			f.publishEntry(drainingWorker, standin.Draining)
 		}
-		time.Sleep(leftWithin)
-		before := len(f.workers[leavingWorker].Runs())
+		time.Sleep(drainLimit)
+		before := len(f.workers[drainingWorker].Runs())
 		time.Sleep(time.Second)
-		if more := f.workers[leavingWorker].Runs()[before:]; len(more) > 0 {
-			j.report(RuleLeaving, more[0].ID, fmt.Sprintf("%d requests %s after the worker's mark", len(more), leftWithin))
+		if more := f.workers[drainingWorker].Runs()[before:]; len(more) > 0 {
+			c.report(RuleLeaving, more[0].ID, fmt.Sprintf("%d requests arrived more than %s after the worker was marked draining", len(more), drainLimit))
 		}
 	})
 	tasks.Wait()
 }
 
-// apply begins a fault and ends it after its time.
+// apply injects a fault and ends it after its duration.
 func (f *fleet) apply(s Step, changes *sync.Mutex) {
-	if strikesWorker(s.Fault) {
-		f.strikeWorker(s)
+	if targetsWorker(s.Fault) {
+		f.applyToWorker(s)
 		return
 	}
 	r := f.routers[s.Target]
 	switch s.Fault {
 	case Kill:
-		f.restart(r, syscall.SIGKILL, s.For)
+		f.restart(r, syscall.SIGKILL, s.Duration)
 	case Stop:
-		f.restart(r, syscall.SIGTERM, s.For)
+		f.restart(r, syscall.SIGTERM, s.Duration)
 	case Pause:
 		r.signal(syscall.SIGSTOP)
-		time.Sleep(s.For)
+		time.Sleep(s.Duration)
 		r.signal(syscall.SIGCONT)
 	case Suspend:
-		r.suspend(s.For)
+		r.suspend(s.Duration)
 	case Reload:
-		_ = f.write(r)
-		if s.For > (shortest+longest)/2 {
+		_ = f.writeSettings(r)
+		if s.Duration > (minDuration+maxDuration)/2 {
 			r.signal(syscall.SIGHUP)
 		}
 	case Configure:
 		changes.Lock()
 		defer changes.Unlock()
-		f.configure()
-	case StoreCopy:
-		f.storeFromCopy(s, changes)
-	case StoreForget:
+		f.publishConfig()
+	case StoreRestore:
+		f.restoreStore(s, changes)
+	case StoreCompact:
 		f.store.Compact()
 	case CallersReset:
-		r.front.reset()
+		r.proxy.reset()
 	default:
-		r.door.SetMode(modes[s.Fault], 0)
-		time.Sleep(s.For)
-		r.door.SetMode(standin.Healthy, 0)
+		r.endpoint.SetMode(endpointModes[s.Fault], 0)
+		time.Sleep(s.Duration)
+		r.endpoint.SetMode(standin.Healthy, 0)
 	}
 }
 
-var modes = map[Fault]standin.Mode{
-	StoreBusy: standin.Unavailable, StoreSilent: standin.Unresponsive, StoreReset: standin.Reset, StoreDeaf: standin.NoChanges,
+var endpointModes = map[Fault]standin.Mode{
+	StoreUnavailable: standin.Unavailable, StoreUnresponsive: standin.Unresponsive, StoreReset: standin.Reset, StoreNoChanges: standin.NoChanges,
 }
 
-// restart ends a router's process by a signal and starts another, unless one of
-// the faults does so already.
-func (f *fleet) restart(r *router, by syscall.Signal, down time.Duration) {
+// restart stops a router's process with a signal and starts a new one, unless another fault is
+// already restarting it.
+func (f *fleet) restart(r *router, sig syscall.Signal, down time.Duration) {
 	if !r.restarting.TryLock() {
 		return
 	}
 	defer r.restarting.Unlock()
-	r.signal(by)
-	ctx, cancel := context.WithTimeout(context.Background(), readyWithin)
+	r.signal(sig)
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	if r.await(ctx) != nil {
+	if r.awaitExit(ctx) != nil {
 		r.signal(syscall.SIGKILL)
-		_ = r.await(context.Background())
+		_ = r.awaitExit(context.Background())
 	}
 	time.Sleep(down / 2)
 	_ = f.start(r)
 }
 
-func (f *fleet) strikeWorker(s Step) {
+func (f *fleet) applyToWorker(s Step) {
 	w, link := f.workers[s.Target], f.links[s.Target]
 	switch s.Fault {
-	case LinkSilent:
-		link.silent.Store(true)
-		time.Sleep(s.For)
-		link.silent.Store(false)
+	case LinkBlocked:
+		link.blocked.Store(true)
+		time.Sleep(s.Duration)
+		link.blocked.Store(false)
 	case LinkSlow:
 		link.slow.Store(true)
-		time.Sleep(s.For)
+		time.Sleep(s.Duration)
 		link.slow.Store(false)
 	case LinkReset:
 		link.reset()
-	case WorkerCuts:
+	case WorkerDisconnects:
 		w.DisconnectAfter(events / 2)
-	case WorkerHangs:
+	case WorkerStalls:
 		w.StallAfter(events / 2)
-	case WorkerReborn:
-		f.reborn(s.Target)
-	case EntrySpoilt:
-		f.store.PutCorrupt(w.ID, w, serviceOf(s.Target), link.address(), slots, f.draws(s))
-		time.Sleep(s.For)
-		f.enterAgain(s.Target)
-	case EntryStray:
-		stray := fmt.Sprintf("stray-%d", s.At)
-		f.store.PutCorrupt(stray, w, serviceOf(s.Target), link.address(), slots, f.draws(s))
-		time.Sleep(s.For)
-		f.store.Deregister(stray)
+	case WorkerRestart:
+		f.restartWorker(s.Target)
+	case EntryCorrupt:
+		f.store.PutCorrupt(w.ID, w, serviceOf(s.Target), link.address(), slots, f.stepRand(s))
+		time.Sleep(s.Duration)
+		f.republishEntry(s.Target)
+	case EntryUnknown:
+		id := fmt.Sprintf("stray-%d", s.At)
+		f.store.PutCorrupt(id, w, serviceOf(s.Target), link.address(), slots, f.stepRand(s))
+		time.Sleep(s.Duration)
+		f.store.Deregister(id)
 	case WorkerFails, WorkerRefuses:
 		w.SetErrors(s.Fault == WorkerFails, s.Fault == WorkerRefuses)
-		time.Sleep(s.For)
+		time.Sleep(s.Duration)
 		w.SetErrors(false, false)
 	}
 }
 
-// The times of a return from a copy: for how long the store is away, and within what time
-// operators and workers write again what they wrote.
+// A restored store is unavailable for minDowntime to maxDowntime. Operators and workers write what
+// was lost again within rewriteWithin.
 const (
-	leastAway  = 50 * time.Millisecond
-	mostAway   = 400 * time.Millisecond
-	againAfter = 1200 * time.Millisecond
+	minDowntime   = 50 * time.Millisecond
+	maxDowntime   = 400 * time.Millisecond
+	rewriteWithin = 1200 * time.Millisecond
 )
 
-// storeFromCopy has the store lose what is written during a fault. Operators and workers
-// write it again a moment later, each at a time of its own.
-func (f *fleet) storeFromCopy(s Step, changes *sync.Mutex) {
-	rng := f.draws(s)
-	held := f.store.Backup()
-	time.Sleep(s.For)
-	f.store.Restore(held, leastAway+time.Duration(rng.Int64N(int64(mostAway-leastAway))), nil)
+// restoreStore restores the store from a backup, which loses what was written during the fault.
+// Operators and workers write it again, each after a random delay.
+func (f *fleet) restoreStore(s Step, changes *sync.Mutex) {
+	rng := f.stepRand(s)
+	backup := f.store.Backup()
+	time.Sleep(s.Duration)
+	f.store.Restore(backup, minDowntime+time.Duration(rng.Int64N(int64(maxDowntime-minDowntime))), nil)
 	var writers sync.WaitGroup
 	write := func(do func()) {
-		after := time.Duration(rng.Int64N(int64(againAfter)))
+		after := time.Duration(rng.Int64N(int64(rewriteWithin)))
 		writers.Go(func() {
 			time.Sleep(after)
 			do()
@@ -277,50 +275,50 @@
 	write(func() {
 		changes.Lock()
 		defer changes.Unlock()
-		f.configureAgain()
+		f.republishConfig()
 	})
 	for i := range f.workers {
-		write(func() { f.enterAgain(i) })
+		write(func() { f.republishEntry(i) })
 	}
 	writers.Wait()
 }
 
-// draws returns what draws the details of a fault, the same for a seed each time.
-func (f *fleet) draws(s Step) *rand.Rand {
+// stepRand returns a random source for the details of a fault, determined by the step alone.
+func (f *fleet) stepRand(s Step) *rand.Rand {
 	return rand.New(rand.NewPCG(uint64(s.At), uint64(s.Target)))
 }
 
-// reborn has a worker crash and start again, and write so.
-func (f *fleet) reborn(i int) {
+// restartWorker crashes and restarts a worker, and publishes its entry again.
+func (f *fleet) restartWorker(i int) {
 	if err := f.workers[i].Restart(time.Now().UnixMilli()); err != nil {
-		// Its port was taken meanwhile: it stays down, which the end of the run shows.
+		// Another process took the port. The worker stays down, and awaitServing may fail at the end.
 		return
 	}
-	f.enterAgain(i)
+	f.republishEntry(i)
 }
 
-// awaitServing waits until every router answers a request of each kind.
+// awaitServing waits until every router responds 200 to a request of each kind.
 func (r *Run) awaitServing(t *traffic, when string) error {
 	if r.Plant == RuleRecovery && when == "end" {
-		for _, w := range t.fleet.workers[engines:] {
+		for _, w := range t.fleet.workers[streamWorkers:] {
 			t.fleet.store.Deregister(w.ID)
 		}
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	within := readyWithin
+	timeout := readyTimeout
 	if r.Plant == RuleRecovery {
-		within /= 4
+		timeout /= 4
 	}
-	end := time.Now().Add(within)
+	limit := time.Now().Add(timeout)
 	for i, router := range t.fleet.routers {
 		for _, kind := range kinds {
 			for n := 0; ; n++ {
 				a := response{ID: fmt.Sprintf("%s-%d-%s-%d", when, i, kind, n), Kind: kind}
-				t.ask(client, router.front.address(), &a)
+				t.send(client, router.proxy.address(), &a)
 				if a.Status == http.StatusOK {
 					break
 				}
-				if time.Now().After(end) {
+				if time.Now().After(limit) {
 					return fmt.Errorf("soak: %s does not serve %s requests at the %s: status %d", router.name, kind, when, a.Status)
 				}
 				time.Sleep(50 * time.Millisecond)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -12,10 +12,9 @@
 	"github.com/yarrowmast/yarrowmast/platform/standin"
 )
 
-// TestPortsAreGivenOnce draws the same port twice before anybody listens there, as
-// happened to two routers of one run: the second gets another one.
-func TestPortsAreGivenOnce(t *testing.T) {
-	g, drawn := givenPorts{}, []int{0, 0, 1}
+// TestPortsAreUnique guards against assigning a port twice before its router listens on it.
+func TestPortsAreUnique(t *testing.T) {
+	g, drawn := usedPorts{}, []int{0, 0, 1}
 	draw := func() int {
 		next := firstPort + drawn[0]
 		drawn = drawn[1:]
@@ -26,34 +25,34 @@
 		t.Fatal(err)
 	}
 	if second, err := g.freeAddress(draw); err != nil || second == first {
-		t.Errorf("%s is given twice (%v)", second, err)
+		t.Errorf("second address %s equals the first, or error %v", second, err)
 	}
 }
 
-// TestPlanFollowsTheSeed looks that a seed always draws the same faults, within
-// the run, and that others draw others.
-func TestPlanFollowsTheSeed(t *testing.T) {
+// TestPlanIsDeterministic checks that a seed always yields the same faults, all within the run,
+// and that another seed yields others.
+func TestPlanIsDeterministic(t *testing.T) {
 	const length = 12 * time.Second
 	a, b := newPlan(7, length, routers, workers), newPlan(7, length, routers, workers)
 	if diff := cmp.Diff(a, b); diff != "" || len(a) == 0 {
-		t.Errorf("%d faults; the same seed differs:\n%s", len(a), diff)
+		t.Errorf("%d faults; two plans of one seed differ:\n%s", len(a), diff)
 	}
 	if cmp.Equal(a, newPlan(8, length, routers, workers)) {
-		t.Error("another seed draws the same")
+		t.Error("another seed yields the same plan")
 	}
 	for _, s := range a {
-		most := routers
-		if strikesWorker(s.Fault) {
-			most = workers
+		limit := routers
+		if targetsWorker(s.Fault) {
+			limit = workers
 		}
-		if s.At < calmStart || s.At+s.For > length || s.Target < 0 || s.Target >= most {
+		if s.At < firstFaultAfter || s.At+s.Duration > length || s.Target < 0 || s.Target >= limit {
 			t.Errorf("fault %+v is out of bounds", s)
 		}
 	}
 }
 
-// whole is the body of a whole stream.
-func whole(id string) string {
+// fullStream returns the body of a complete stream.
+func fullStream(id string) string {
 	var b strings.Builder
 	for i := 1; i <= events; i++ {
 		b.WriteString(eventText(id, i))
@@ -61,58 +60,57 @@
 	return b.String()
 }
 
-// TestJudge shows that each check can fail, and does not where nothing is
-// wrong.
-func TestJudge(t *testing.T) {
-	const revoked = 3 * time.Second
+// TestChecker checks that each rule detects its violation and accepts correct responses.
+func TestChecker(t *testing.T) {
+	const revokedAt = 3 * time.Second
 	tests := map[string]struct {
 		answer response
 		ran    int
 		want   string
 	}{
-		"answered":                     {response{Kind: Submit, Status: 200, Body: "answer to x", Complete: true}, 1, ""},
-		"stream":                       {response{Kind: PlainStream, Status: 200, Body: whole("x"), Complete: true}, 1, ""},
-		"stream taken up elsewhere":    {response{Kind: ResumableStream, Status: 200, Body: whole("x"), Complete: true}, 2, ""},
-		"stream cut visibly":           {response{Kind: PlainStream, Status: 200, Body: whole("x")[:100]}, 1, ""},
-		"no answer":                    {response{Kind: Submit}, 1, ""},
+		"response":                     {response{Kind: Submit, Status: 200, Body: "answer to x", Complete: true}, 1, ""},
+		"stream":                       {response{Kind: PlainStream, Status: 200, Body: fullStream("x"), Complete: true}, 1, ""},
+		"stream resumed elsewhere":     {response{Kind: ResumableStream, Status: 200, Body: fullStream("x"), Complete: true}, 2, ""},
+		"stream cut visibly":           {response{Kind: PlainStream, Status: 200, Body: fullStream("x")[:100]}, 1, ""},
+		"no response":                  {response{Kind: Submit}, 1, ""},
 		"refused":                      {response{Kind: Submit, Status: 503}, 0, ""},
-		"in doubt":                     {response{Kind: Submit, Status: 502}, 1, ""},
-		"key taken away a moment ago":  {response{Kind: Lookup, Status: 200, Body: "answer to x", Complete: true, RevokedKey: true, SentAt: revoked + time.Second}, 1, ""},
+		"may have run":                 {response{Kind: Submit, Status: 502}, 1, ""},
+		"key revokedAt just now":       {response{Kind: Lookup, Status: 200, Body: "answer to x", Complete: true, RevokedKey: true, SentAt: revokedAt + time.Second}, 1, ""},
 		"ran twice":                    {response{Kind: Submit, Status: 200, Body: "answer to x", Complete: true}, 2, RuleRanTwice},
 		"stream ran twice":             {response{Kind: PlainStream}, 2, RuleRanTwice},
 		"refused and ran":              {response{Kind: Submit, Status: 503}, 1, RuleRefusedButRan},
-		"over its share and ran":       {response{Kind: ResumableStream, Status: 429}, 1, RuleRefusedButRan},
-		"another's answer":             {response{Kind: Lookup, Status: 200, Body: "answer to y", Complete: true}, 1, RuleWrongBody},
-		"an answer that looks whole":   {response{Kind: Lookup, Status: 200, Body: "answer", Complete: true}, 1, RuleWrongBody},
-		"stream with an event missing": {response{Kind: ResumableStream, Status: 200, Body: strings.Replace(whole("x"), eventText("x", 3), "", 1), Complete: true}, 1, RuleWrongBody},
-		"stream with an event twice":   {response{Kind: ResumableStream, Status: 200, Body: eventText("x", 1) + whole("x")}, 1, RuleWrongBody},
-		"stream that ends too soon":    {response{Kind: ResumableStream, Status: 200, Body: eventText("x", 1), Complete: true}, 1, RuleWrongBody},
-		"key taken away long ago":      {response{Kind: Lookup, Status: 200, Body: "answer to x", Complete: true, RevokedKey: true, SentAt: revoked + propagationLimit + 1}, 1, RuleRevokedKey},
+		"over its share but ran":       {response{Kind: ResumableStream, Status: 429}, 1, RuleRefusedButRan},
+		"another request's response":   {response{Kind: Lookup, Status: 200, Body: "answer to y", Complete: true}, 1, RuleWrongBody},
+		"truncated response":           {response{Kind: Lookup, Status: 200, Body: "answer", Complete: true}, 1, RuleWrongBody},
+		"stream with an event missing": {response{Kind: ResumableStream, Status: 200, Body: strings.Replace(fullStream("x"), eventText("x", 3), "", 1), Complete: true}, 1, RuleWrongBody},
+		"stream with an event twice":   {response{Kind: ResumableStream, Status: 200, Body: eventText("x", 1) + fullStream("x")}, 1, RuleWrongBody},
+		"stream that ends early":       {response{Kind: ResumableStream, Status: 200, Body: eventText("x", 1), Complete: true}, 1, RuleWrongBody},
+		"key revokedAt long ago":       {response{Kind: Lookup, Status: 200, Body: "answer to x", Complete: true, RevokedKey: true, SentAt: revokedAt + propagationLimit + 1}, 1, RuleRevokedKey},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			j := &checker{revokedAt: revoked}
+			c := &checker{revokedAt: revokedAt}
 			tc.answer.ID = "x"
-			j.add(tc.answer)
+			c.add(tc.answer)
 			var runs []standin.Run
 			for range tc.ran {
 				runs = append(runs, standin.Run{ID: "x"})
 			}
-			got := j.evaluate(runs)
+			got := c.evaluate(runs)
 			if (tc.want == "") != (len(got) == 0) || len(got) > 0 && got[0].Rule != tc.want {
-				t.Errorf("breaches %v, want %q", got, tc.want)
+				t.Errorf("violations %v, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
-// seeds that are played by the tests: a short draw, and those that ever showed a
-// fault, with a line on its cause.
+// seeds are the seeds that TestSoak runs: an arbitrary one, and those that once found a fault, named
+// by its cause.
 var seeds = map[string]uint64{
-	"a short draw": 1,
+	"arbitrary": 1,
 }
 
-// TestSoak plays faults against real router processes.
+// TestSoak injects faults into router processes.
 func TestSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "yarrowmast")
 	if out, err := exec.Command("go", "build", "-tags", "soak", "-o", binary, "../../cmd/yarrowmast").CombinedOutput(); err != nil {
@@ -120,16 +118,16 @@
 	}
 	for name, seed := range seeds {
 		t.Run(name, func(t *testing.T) {
-			r := Run{Binary: binary, Seed: seed, Length: 5 * time.Second, Log: t.Logf}
+			r := Run{Binary: binary, Seed: seed, Duration: 5 * time.Second, Log: t.Logf}
 			rep, err := r.Play()
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range rep.Breaches {
-				t.Error(b)
+			for _, v := range rep.Violations {
+				t.Error(v)
 			}
-			if rep.Requests == 0 || rep.By[200] == 0 {
-				t.Errorf("nothing was answered: %+v", rep)
+			if rep.Requests == 0 || rep.ByStatus[200] == 0 {
+				t.Errorf("no request succeeded: %+v", rep)
 			}
 		})
 	}
--- a/test/soak/traffic.go
+++ b/test/soak/traffic.go
@@ -17,39 +17,39 @@
 const (
 	host       = "forms.example"
 	key        = "secret-1"
-	keyRevoked = "secret-2"
-	// callers is how many callers send requests, one after the other.
+	revokedKey = "secret-2"
+	// callers is the number of callers. Each sends one request at a time.
 	callers = 24
-	// deadline is how long a caller waits.
+	// deadline is how long a caller waits for a response.
 	deadline = 3 * time.Second
 )
 
 var kinds = []Kind{ResumableStream, PlainStream, Submit, Lookup}
 
-// traffic is the callers of one run.
+// traffic runs the callers of one run.
 type traffic struct {
-	fleet *fleet
-	judge *checker
-	seed  uint64
-	start time.Time
-	plant string
+	fleet   *fleet
+	checker *checker
+	seed    uint64
+	start   time.Time
+	plant   string
 }
 
-// run has the callers send requests until ctx is done.
+// run sends requests from all callers until ctx is done.
 func (t *traffic) run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	for i := range callers {
 		tasks.Add(1)
 		go func() {
 			defer tasks.Done()
-			t.caller(ctx, i)
+			t.runCaller(ctx, i)
 		}()
 	}
 	tasks.Wait()
 }
 
-// caller keeps its connections until they end.
-func (t *traffic) caller(ctx context.Context, number int) {
+// runCaller sends requests one after the other, and reuses its connections.
+func (t *traffic) runCaller(ctx context.Context, number int) {
 	rng := rand.New(rand.NewPCG(t.seed, uint64(number)+1))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	defer client.CloseIdleConnections()
@@ -59,11 +59,11 @@
 			ID: fmt.Sprintf("%x-%x-%x", t.seed, number, n), Kind: kinds[rng.IntN(len(kinds))], SentAt: time.Since(t.start),
 			RevokedKey: rng.IntN(4) == 0,
 		}
-		// Who sends submit requests needs no key.
+		// Submit requests need no key.
 		a.RevokedKey = a.RevokedKey && a.Kind != Submit
-		t.ask(client, r.front.address(), &a)
-		t.spoil(&a)
-		t.judge.add(a)
+		t.send(client, r.proxy.address(), &a)
+		t.plantFault(&a)
+		t.checker.add(a)
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration(rng.IntN(30)) * time.Millisecond):
@@ -71,16 +71,16 @@
 	}
 }
 
-// ask sends one request and notes what came back.
-func (t *traffic) ask(client *http.Client, address string, a *response) {
+// send sends one request and records the response in a.
+func (t *traffic) send(client *http.Client, address string, a *response) {
 	ctx, cancel := context.WithTimeout(context.Background(), deadline)
 	defer cancel()
-	with := key
+	secret := key
 	if a.RevokedKey {
-		with = keyRevoked
+		secret = revokedKey
 	}
-	// Never GET, which the client would send again by itself.
-	req, err := standin.NewRequest(ctx, address, host, pathOf(a.Kind), a.ID, with, deadline)
+	// Not GET, which http.Client would retry.
+	req, err := standin.NewRequest(ctx, address, host, pathOf(a.Kind), a.ID, secret, deadline)
 	if err != nil {
 		return
 	}
@@ -99,8 +99,8 @@
 
 func pathOf(k Kind) string { return "/" + string(k) + "/x" }
 
-// spoil plants a fault, to show that the judge sees it.
-func (t *traffic) spoil(a *response) {
+// plantFault violates a rule on purpose, to show that the checker detects it.
+func (t *traffic) plantFault(a *response) {
 	switch t.plant {
 	case RuleWrongBody:
 		if a.Status == http.StatusOK && len(a.Body) > 0 {
@@ -113,15 +113,14 @@
 	case RuleRanTwice:
 		if a.Kind == Submit && a.Status == http.StatusOK {
 			again := *a
-			t.plantAgain(&again)
+			t.sendToWorker(&again)
 		}
 	}
 }
 
-// plantAgain sends a request straight to a worker once more, as a faulty router
-// would.
-func (t *traffic) plantAgain(a *response) {
-	address := t.fleet.workers[engines].Address()
+// sendToWorker sends a request to a worker directly, as a faulty router might.
+func (t *traffic) sendToWorker(a *response) {
+	address := t.fleet.workers[streamWorkers].Address()
 	req, err := standin.NewRequest(context.Background(), address, host, pathOf(a.Kind), a.ID, key, deadline)
 	if err != nil {
 		return
