--- a/standin/cmd/standin/main.go
+++ b/standin/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin plays the platform and every backend server of a table in
-// one process, so that routers can be tried as separate processes.
+// Command standin runs stand-ins for the platform and for every backend server of a table in one
+// process, so that routers can be tried as separate processes.
 package main
 
 import (
@@ -28,8 +28,8 @@
 
 const (
 	tokensPerSecond = 100
-	step            = 20 * time.Millisecond
-	lookEvery       = 200 * time.Millisecond
+	chunkInterval   = 20 * time.Millisecond
+	pollInterval    = 200 * time.Millisecond
 )
 
 func main() {
@@ -42,21 +42,21 @@
 func run(args []string) error {
 	dir := ""
 	p := flaggy.NewParser("standin")
-	p.Description = "plays the platform and the backend servers of an example folder"
+	p.Description = "runs stand-ins for the platform and the backend servers of an example folder"
 	p.String(&dir, "d", "dir", "folder with table.yaml and a settings file for each router")
 	if err := p.ParseArgs(args); err != nil {
 		return err
 	}
 	if dir == "" {
-		return errors.New("give --dir FOLDER, such as examples/ramdin")
+		return errors.New("--dir FOLDER is required, such as examples/ramdin")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return play(ctx, dir)
+	return serve(ctx, dir)
 }
 
-func play(ctx context.Context, dir string) error {
-	list, address, err := instances(dir)
+func serve(ctx context.Context, dir string) error {
+	list, address, err := listInstances(dir)
 	if err != nil {
 		return err
 	}
@@ -76,16 +76,16 @@
 	if err != nil {
 		return err
 	}
-	if err := engines(t); err != nil {
+	if err := startEngines(t); err != nil {
 		return err
 	}
 	fmt.Printf("platform on %s, %d routers listed, %d backend servers; edit %s to publish a new version\n", address, len(list), len(t.Backends), file)
-	follow(ctx, plat, file, data)
+	publishChanges(ctx, plat, file, data)
 	return nil
 }
 
-// instances lists the routers that have settings in the folder.
-func instances(dir string) ([]client.Instance, string, error) {
+// listInstances returns the routers with a settings file in the folder, and the platform's address.
+func listInstances(dir string) ([]client.Instance, string, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.yaml"))
 	if err != nil {
 		return nil, "", err
@@ -106,27 +106,27 @@
 	return list, address, nil
 }
 
-func engines(t *table.Table) error {
-	j := judge.New()
+func startEngines(t *table.Table) error {
+	recorder := judge.New()
 	for _, b := range t.Backends {
 		ln, err := net.Listen("tcp", b.Address)
 		if err != nil {
 			return err
 		}
-		j.AddServer(judge.Server{Name: b.Name, Model: b.Models[0], Zone: b.Zone, Slots: b.Slots})
-		engine.Start(engine.Config{Name: b.Name, Slots: b.Slots, TokensPerSecond: tokensPerSecond, ChunkInterval: step, Recorder: j}, ln)
+		recorder.AddServer(judge.Server{Name: b.Name, Model: b.Models[0], Zone: b.Zone, Slots: b.Slots})
+		engine.Start(engine.Config{Name: b.Name, Slots: b.Slots, TokensPerSecond: tokensPerSecond, ChunkInterval: chunkInterval, Recorder: recorder}, ln)
 	}
 	return nil
 }
 
-// follow publishes the table, and again whenever its file changes.
-func follow(ctx context.Context, plat *platform.Platform, file string, data []byte) {
+// publishChanges publishes the table, and publishes it again whenever its file changes.
+func publishChanges(ctx context.Context, plat *platform.Platform, file string, data []byte) {
 	fmt.Printf("table version %d\n", plat.Publish(router.TableName, data))
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 		now, err := os.ReadFile(file)
 		if err == nil && string(now) != string(data) {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,5 @@
-// Package engine is a stand-in for a model engine: it streams made-up tokens
-// at a fixed rate from a number of slots and queues what is over them. It also
-// plays a plain service.
+// Package engine is a stand-in for a model engine and for a plain service. Each slot generates
+// placeholder tokens at a fixed rate; requests beyond the slots wait.
 package engine
 
 import (
@@ -18,34 +17,33 @@
 	"github.com/yarrowmast/yarrowmast/standin/judge"
 )
 
-// Config is one stand-in.
+// Config configures a stand-in.
 type Config struct {
 	Name  string
 	Slots int
-	// TokensPerSecond is the rate of each slot.
+	// TokensPerSecond is the rate of one slot.
 	TokensPerSecond float64
 	// ChunkInterval is the time between two chunks.
 	ChunkInterval time.Duration
-	// LoadLag is how old the reported load is.
+	// LoadLag is how long a reported load is reused.
 	LoadLag  time.Duration
 	Recorder *judge.Recorder
 }
 
-// RequestBody is what the stand-in reads of a request's body.
+// RequestBody is the part of a request's body that the stand-in reads.
 type RequestBody struct {
-	// ID is the caller's own id of the request, repeated in every chunk.
+	// ID is the id that the caller gave the request. Every chunk contains it.
 	ID string `json:"load_id"`
-	// Tokens is how long the answer is; the routers do not read it.
+	// Tokens is the length of the response. Routers do not read it.
 	Tokens int  `json:"load_tokens"`
 	Stream bool `json:"stream"`
-	// Prefix names the prompt's beginning, 0 if it is not worth a cache.
+	// Prefix identifies the prompt prefix, 0 if it is too short to cache.
 	Prefix int `json:"load_prefix"`
-	// Fault asks for a bad answer: garbage, cut, crossed, two, error500,
-	// refuse, or "".
+	// Fault requests a faulty response: garbage, half, cut, crossed, two, error500, refuse, or "".
 	Fault string `json:"load_fault"`
 }
 
-// defaultTokens is how long an answer is that the request does not size.
+// defaultTokens is the length of the response if the request gives none.
 const defaultTokens = 50
 
 // Engine is a running stand-in.
@@ -54,29 +52,29 @@
 	slots chan struct{}
 	http  *http.Server
 
-	mu       sync.Mutex
-	inFlight int
-	reported int
-	readAt   time.Time
-	// cached are the prefixes held, the newest last; hits and misses count.
+	mu           sync.Mutex
+	inFlight     int
+	reportedLoad int
+	loadReadAt   time.Time
+	// cached are the cached prefixes, the most recently used last.
 	cached []string
 	hits   int
 	misses int
 }
 
-// The stand-in's cache of prefixes: how many it holds, and what a miss costs.
+// The prefix cache holds cacheSize prefixes. A miss takes prefillTime.
 const (
-	cacheSize = 8
-	prefill   = 100 * time.Millisecond
+	cacheSize   = 8
+	prefillTime = 100 * time.Millisecond
 )
 
-// lookUp finds a prefix in the cache and puts it at its end.
-func (e *Engine) lookUp(prefix string) bool {
+// lookUpPrefix reports whether a prefix is cached, and makes it the most recently used.
+func (e *Engine) lookUpPrefix(prefix string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at := slices.Index(e.cached, prefix)
-	if at >= 0 {
-		e.cached = append(slices.Delete(e.cached, at, at+1), prefix)
+	i := slices.Index(e.cached, prefix)
+	if i >= 0 {
+		e.cached = append(slices.Delete(e.cached, i, i+1), prefix)
 		e.hits++
 		return true
 	}
@@ -88,7 +86,7 @@
 	return false
 }
 
-// CacheStats returns how many prefixes were found and how many were not.
+// CacheStats returns the hits and misses of the prefix cache.
 func (e *Engine) CacheStats() (hits, misses int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -99,30 +97,30 @@
 func Start(cfg Config, ln net.Listener) *Engine {
 	e := &Engine{cfg: cfg, slots: make(chan struct{}, cfg.Slots)}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", e.complete)
-	mux.HandleFunc("POST /v1/chat/completions", e.complete)
-	mux.HandleFunc("GET /load", e.load)
-	mux.HandleFunc("/", e.plain)
+	mux.HandleFunc("POST /v1/completions", e.serveCompletion)
+	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
+	mux.HandleFunc("GET /load", e.serveLoad)
+	mux.HandleFunc("/", e.servePlain)
 	e.http = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
 	go func() { _ = e.http.Serve(ln) }()
 	return e
 }
 
-// Close cuts all connections.
+// Close stops the server and closes all connections.
 func (e *Engine) Close() { _ = e.http.Close() }
 
-func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	if time.Since(e.readAt) >= e.cfg.LoadLag {
-		e.readAt = time.Now()
-		e.reported = e.inFlight
+	if time.Since(e.loadReadAt) >= e.cfg.LoadLag {
+		e.loadReadAt = time.Now()
+		e.reportedLoad = e.inFlight
 	}
-	n := e.reported
+	n := e.reportedLoad
 	e.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(map[string]int{"in_flight": n, "slots": e.cfg.Slots})
 }
 
-func (e *Engine) enter(n int) {
+func (e *Engine) addInFlight(n int) {
 	e.mu.Lock()
 	e.inFlight += n
 	e.mu.Unlock()
@@ -133,21 +131,21 @@
 	}
 }
 
-func (e *Engine) read(w http.ResponseWriter, r *http.Request) (RequestBody, bool) {
+func (e *Engine) readBody(w http.ResponseWriter, r *http.Request) (RequestBody, bool) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return RequestBody{}, false
 	}
-	var ask RequestBody
-	if err := json.Unmarshal(body, &ask); err != nil {
+	var req RequestBody
+	if err := json.Unmarshal(body, &req); err != nil {
 		http.Error(w, "bad json", http.StatusBadRequest)
 		return RequestBody{}, false
 	}
-	return ask, true
+	return req, true
 }
 
-// take waits for a slot; beyond its slots the stand-in queues.
-func (e *Engine) take(ctx context.Context) bool {
+// acquireSlot waits for a slot. It returns false if ctx is done first.
+func (e *Engine) acquireSlot(ctx context.Context) bool {
 	select {
 	case e.slots <- struct{}{}:
 		return true
@@ -156,79 +154,82 @@
 	}
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	ask, ok := e.read(w, r)
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
+	req, ok := e.readBody(w, r)
 	if !ok {
 		return
 	}
-	e.enter(1)
-	defer e.enter(-1)
-	if ask.Fault == "refuse" {
+	e.addInFlight(1)
+	defer e.addInFlight(-1)
+	if req.Fault == "refuse" {
 		w.Header().Set("X-Not-Run", "true")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if !e.take(r.Context()) {
+	if !e.acquireSlot(r.Context()) {
 		return
 	}
 	defer func() { <-e.slots }()
-	e.cfg.Recorder.RequestStarted(ask.ID)
+	e.cfg.Recorder.RequestStarted(req.ID)
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
-	account, _, _ := strings.Cut(ask.ID, ".")
-	if ask.Prefix > 0 && !e.lookUp(fmt.Sprint(account, ask.Prefix)) {
-		time.Sleep(prefill)
+	account, _, _ := strings.Cut(req.ID, ".")
+	if req.Prefix > 0 && !e.lookUpPrefix(fmt.Sprint(account, req.Prefix)) {
+		time.Sleep(prefillTime)
 	}
-	if ask.Fault == "error500" {
+	if req.Fault == "error500" {
 		http.Error(w, `{"error":{"message":"made up"}}`, http.StatusInternalServerError)
 		return
 	}
-	if ask.Stream {
-		e.stream(w, r, ask)
+	if req.Stream {
+		e.writeStream(w, r, req)
 		return
 	}
-	e.whole(w, r, ask)
+	e.writeFull(w, r, req)
 }
 
-// step is how many tokens a slot makes in one step.
-func (e *Engine) step() float64 { return e.cfg.TokensPerSecond * e.cfg.ChunkInterval.Seconds() }
+// tokensPerChunk returns how many tokens a slot generates in one chunk interval.
+func (e *Engine) tokensPerChunk() float64 {
+	return e.cfg.TokensPerSecond * e.cfg.ChunkInterval.Seconds()
+}
 
-// produce calls emit with the tokens of each step until the answer is whole.
-func (e *Engine) produce(ctx context.Context, ask RequestBody, emit func(sum int) bool) {
-	begun := time.Now()
+// produce calls emit with the number of tokens so far after each chunk, until the response is
+// complete, emit returns false or ctx is done.
+func (e *Engine) produce(ctx context.Context, req RequestBody, emit func(sum int) bool) {
+	start := time.Now()
 	sum := 0
-	if ask.Tokens == 0 {
-		ask.Tokens = defaultTokens
+	if req.Tokens == 0 {
+		req.Tokens = defaultTokens
 	}
-	for sum < ask.Tokens {
-		due := begun.Add(time.Duration(float64(sum+e.chunk(sum, ask.Tokens)) / e.cfg.TokensPerSecond * float64(time.Second)))
+	for sum < req.Tokens {
+		due := start.Add(time.Duration(float64(sum+e.chunkSize(sum, req.Tokens)) / e.cfg.TokensPerSecond * float64(time.Second)))
 		select {
 		case <-time.After(time.Until(due)):
 		case <-ctx.Done():
 			return
 		}
-		n := e.chunk(sum, ask.Tokens)
+		n := e.chunkSize(sum, req.Tokens)
 		sum += n
-		e.cfg.Recorder.TokensServed(ask.ID, n)
+		e.cfg.Recorder.TokensServed(req.ID, n)
 		if !emit(sum) {
 			return
 		}
 	}
 }
 
-func (e *Engine) chunk(sum, all int) int {
-	return min(max(1, int(e.step())), all-sum)
+func (e *Engine) chunkSize(sum, total int) int {
+	return min(max(1, int(e.tokensPerChunk())), total-sum)
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, ask RequestBody) {
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, req RequestBody) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Trailer", "X-Engine-Tokens")
 	flush := http.NewResponseController(w)
 	id := r.Header.Get("X-Request-Id")
-	e.produce(r.Context(), ask, func(sum int) bool {
-		if sum > ask.Tokens/2 && ask.Fault != "" {
-			return e.spoil(w, ask)
+	e.produce(r.Context(), req, func(sum int) bool {
+		if sum > req.Tokens/2 && req.Fault != "" {
+			return e.writeFault(w, req)
 		}
-		_, err := fmt.Fprintf(w, "data: {\"id\":%q,\"load_id\":%q,\"choices\":[{\"text\":\"w\"}],\"usage\":{\"completion_tokens\":%d}}\n\n", id, ask.ID, sum)
+		_, err := fmt.Fprintf(w, "data: {\"id\":%q,\"load_id\":%q,\"choices\":[{\"text\":\"w\"}],\"usage\":{\"completion_tokens\":%d}}\n\n", id, req.ID, sum)
 		_ = flush.Flush()
 		return err == nil
 	})
@@ -237,15 +238,15 @@
 		return
 	}
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
-	if ask.Fault == "two" {
+	if req.Fault == "two" {
 		_, _ = io.WriteString(w, "data: {\"id\":\"another\",\"choices\":[{}]}\n\n")
 	}
-	w.Header().Set("X-Engine-Tokens", fmt.Sprint(ask.Tokens))
+	w.Header().Set("X-Engine-Tokens", fmt.Sprint(req.Tokens))
 }
 
-// spoil sends a bad part of an answer; it reports whether the stream goes on.
-func (e *Engine) spoil(w http.ResponseWriter, ask RequestBody) bool {
-	switch ask.Fault {
+// writeFault writes a faulty part of a stream. It reports whether the stream continues.
+func (e *Engine) writeFault(w http.ResponseWriter, req RequestBody) bool {
+	switch req.Fault {
 	case "garbage":
 		_, _ = io.WriteString(w, "\x00\x01 not an event\n\n")
 	case "crossed":
@@ -259,25 +260,25 @@
 	return true
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, ask RequestBody) {
-	e.produce(r.Context(), ask, func(int) bool { return true })
+func (e *Engine) writeFull(w http.ResponseWriter, r *http.Request, req RequestBody) {
+	e.produce(r.Context(), req, func(int) bool { return true })
 	if r.Context().Err() != nil {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = fmt.Fprintf(w, `{"id":%q,"load_id":%q,"choices":[{"text":"w"}],"usage":{"completion_tokens":%d},"extra":{"kept":true}}`,
-		r.Header.Get("X-Request-Id"), ask.ID, ask.Tokens)
+		r.Header.Get("X-Request-Id"), req.ID, req.Tokens)
 }
 
-// plain answers as a plain service: it counts the run and echoes the request.
-func (e *Engine) plain(w http.ResponseWriter, r *http.Request) {
+// servePlain responds as a plain service: it records the run and echoes the request.
+func (e *Engine) servePlain(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	e.enter(1)
-	defer e.enter(-1)
-	if !e.take(r.Context()) {
+	e.addInFlight(1)
+	defer e.addInFlight(-1)
+	if !e.acquireSlot(r.Context()) {
 		return
 	}
 	defer func() { <-e.slots }()
--- a/standin/fabric/conn.go
+++ b/standin/fabric/conn.go
@@ -8,42 +8,41 @@
 	"time"
 )
 
-// queued is how many pieces may be under way in one direction.
-const queued = 4096
+// maxChunks is how many chunks may be in flight in one direction.
+const maxChunks = 4096
 
-// piece is bytes with the moment at which they arrive.
-type piece struct {
+// chunk is data with its arrival time.
+type chunk struct {
 	data []byte
 	due  time.Time
 	err  error
 }
 
-// conn delays both directions of a connection and holds them back while the
-// link is blocked.
+// conn delays both directions of a connection and blocks them while the link is blocked.
 type conn struct {
 	net.Conn
-	link  *link
-	delay time.Duration
-	done  chan struct{}
-	once  sync.Once
-	out   chan piece
-	in    chan piece
-	rest  bytes.Buffer
-	ended error
+	link    *link
+	delay   time.Duration
+	done    chan struct{}
+	once    sync.Once
+	out     chan chunk
+	in      chan chunk
+	unread  bytes.Buffer
+	readErr error
 }
 
 func newConn(c net.Conn, l *link, delay time.Duration) *conn {
-	x := &conn{Conn: c, link: l, delay: delay, done: make(chan struct{}), out: make(chan piece, queued), in: make(chan piece, queued)}
+	x := &conn{Conn: c, link: l, delay: delay, done: make(chan struct{}), out: make(chan chunk, maxChunks), in: make(chan chunk, maxChunks)}
 	go x.writeLoop()
 	go x.readLoop()
 	return x
 }
 
-func (c *conn) wait(p piece) bool {
+func (c *conn) wait(p chunk) bool {
 	if d := time.Until(p.due); d > 0 {
 		time.Sleep(d)
 	}
-	return c.link.pass(c.done)
+	return c.link.awaitOpen(c.done)
 }
 
 func (c *conn) writeLoop() {
@@ -67,7 +66,7 @@
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := c.Conn.Read(buf)
-		p := piece{data: append([]byte(nil), buf[:n]...), due: time.Now().Add(c.delay), err: err}
+		p := chunk{data: append([]byte(nil), buf[:n]...), due: time.Now().Add(c.delay), err: err}
 		select {
 		case c.in <- p:
 		case <-c.done:
@@ -79,10 +78,10 @@
 	}
 }
 
-// Write implements net.Conn: the bytes are under way when it returns.
+// Write implements net.Conn. It returns before the bytes arrive.
 func (c *conn) Write(p []byte) (int, error) {
 	select {
-	case c.out <- piece{data: append([]byte(nil), p...), due: time.Now().Add(c.delay)}:
+	case c.out <- chunk{data: append([]byte(nil), p...), due: time.Now().Add(c.delay)}:
 		return len(p), nil
 	case <-c.done:
 		return 0, net.ErrClosed
@@ -91,30 +90,29 @@
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
-	for c.rest.Len() == 0 {
-		if c.ended != nil {
-			return 0, c.ended
+	for c.unread.Len() == 0 {
+		if c.readErr != nil {
+			return 0, c.readErr
 		}
 		select {
 		case x := <-c.in:
 			if !c.wait(x) {
 				return 0, net.ErrClosed
 			}
-			c.rest.Write(x.data)
-			c.ended = x.err
+			c.unread.Write(x.data)
+			c.readErr = x.err
 		case <-c.done:
 			return 0, net.ErrClosed
 		}
 	}
-	n, err := c.rest.Read(p)
+	n, err := c.unread.Read(p)
 	if err == io.EOF {
 		err = nil
 	}
 	return n, err
 }
 
-// Close implements net.Conn. What is under way is sent first, unless the
-// link is blocked, as a kernel would.
+// Close implements net.Conn. Data in flight is delivered first, unless the link is blocked.
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		time.AfterFunc(2*c.delay, func() {
@@ -125,12 +123,11 @@
 	return nil
 }
 
-// SetDeadline, SetReadDeadline and SetWriteDeadline are not needed: callers
-// bound their waits by closing.
+// SetDeadline implements net.Conn. It does nothing: users of the connection close it instead.
 func (c *conn) SetDeadline(time.Time) error { return nil }
 
-// SetReadDeadline implements net.Conn.
+// SetReadDeadline does nothing, as SetDeadline.
 func (c *conn) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline implements net.Conn.
+// SetWriteDeadline does nothing, as SetDeadline.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
--- a/standin/fabric/fabric.go
+++ b/standin/fabric/fabric.go
@@ -1,5 +1,5 @@
-// Package fabric stands in for the network between availability zones: it
-// delays and cuts connections, and freezes the ends of a paused process.
+// Package fabric simulates the network between availability zones: it delays and blocks connections
+// on loopback, by zone and by process.
 package fabric
 
 import (
@@ -11,88 +11,90 @@
 	"time"
 )
 
-// Network knows where every address stands.
+// Network simulates latency, partitions and paused processes. Use New.
 type Network struct {
 	delay time.Duration
 
-	mu     sync.Mutex
-	zones  map[string]string
-	owners map[string]string
-	cut    map[string]bool
-	frozen map[string]bool
-	change chan struct{}
+	mu          sync.Mutex
+	zones       map[string]string
+	processes   map[string]string
+	partitioned map[string]bool
+	paused      map[string]bool
+	changed     chan struct{}
 }
 
-// New returns a network whose zones are delay apart, one way.
+// New returns a network with the given one-way delay between zones.
 func New(delay time.Duration) *Network {
 	return &Network{
-		delay: delay, zones: map[string]string{}, owners: map[string]string{},
-		cut: map[string]bool{}, frozen: map[string]bool{}, change: make(chan struct{}),
+		delay: delay, zones: map[string]string{}, processes: map[string]string{},
+		partitioned: map[string]bool{}, paused: map[string]bool{}, changed: make(chan struct{}),
 	}
 }
 
-// Register says in which zone an address stands and whose it is.
-func (f *Network) Register(address, zone, owner string) {
+// Register records the zone and the process of an address.
+func (f *Network) Register(address, zone, process string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.zones[address] = zone
-	f.owners[address] = owner
+	f.processes[address] = process
 }
 
-// SetPartitioned cuts a zone off from the others, or joins it again. What was under way
-// arrives late.
-func (f *Network) SetPartitioned(zone string, cut bool) { f.set(f.cut, zone, cut) }
+// SetPartitioned partitions a zone from the others, or heals the partition. Data in flight arrives
+// after that.
+func (f *Network) SetPartitioned(zone string, partitioned bool) {
+	f.set(f.partitioned, zone, partitioned)
+}
 
-// SetPaused stops all traffic of a process, or lets it go on.
-func (f *Network) SetPaused(owner string, frozen bool) { f.set(f.frozen, owner, frozen) }
+// SetPaused blocks all traffic of a process, or unblocks it.
+func (f *Network) SetPaused(process string, paused bool) { f.set(f.paused, process, paused) }
 
 func (f *Network) set(m map[string]bool, key string, v bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m[key] = v
-	close(f.change)
-	f.change = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
-// Dialer opens connections from a process in a zone.
+// Dialer dials from a process in a zone.
 type Dialer struct {
-	fabric *Network
-	zone   string
-	owner  string
+	fabric  *Network
+	zone    string
+	process string
 }
 
 // Dialer returns the dialer of a process.
-func (f *Network) Dialer(zone, owner string) *Dialer {
-	return &Dialer{fabric: f, zone: zone, owner: owner}
+func (f *Network) Dialer(zone, process string) *Dialer {
+	return &Dialer{fabric: f, zone: zone, process: process}
 }
 
-// dialTimeout is how long a dial into a cut zone takes to fail.
+// dialTimeout is when a dial over a blocked link fails.
 const dialTimeout = time.Second
 
-// link is one connection's place in the fabric.
+// link describes the two ends of a connection.
 type link struct {
-	fabric           *Network
-	zone, peerZone   string
-	owner, peerOwner string
+	fabric               *Network
+	zone, peerZone       string
+	process, peerProcess string
 }
 
 func (l *link) blocked() (bool, chan struct{}) {
 	f := l.fabric
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	cut := l.zone != l.peerZone && (f.cut[l.zone] || f.cut[l.peerZone])
-	return cut || f.frozen[l.owner] || f.frozen[l.peerOwner], f.change
+	partitioned := l.zone != l.peerZone && (f.partitioned[l.zone] || f.partitioned[l.peerZone])
+	return partitioned || f.paused[l.process] || f.paused[l.peerProcess], f.changed
 }
 
-// pass waits until the link is open; it reports false if done comes first.
-func (l *link) pass(done <-chan struct{}) bool {
+// awaitOpen waits until the link is not blocked. It returns false if done is closed first.
+func (l *link) awaitOpen(done <-chan struct{}) bool {
 	for {
-		blocked, change := l.blocked()
+		blocked, changed := l.blocked()
 		if !blocked {
 			return true
 		}
 		select {
-		case <-change:
+		case <-changed:
 		case <-done:
 			return false
 		}
@@ -103,11 +105,11 @@
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	f := d.fabric
 	f.mu.Lock()
-	l := &link{fabric: f, zone: d.zone, owner: d.owner, peerZone: f.zones[address], peerOwner: f.owners[address]}
+	l := &link{fabric: f, zone: d.zone, process: d.process, peerZone: f.zones[address], peerProcess: f.processes[address]}
 	f.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	if !l.pass(ctx.Done()) {
+	if !l.awaitOpen(ctx.Done()) {
 		return nil, fmt.Errorf("fabric: dial %s: %w", address, os.ErrDeadlineExceeded)
 	}
 	delay := time.Duration(0)
--- a/standin/judge/judge.go
+++ b/standin/judge/judge.go
@@ -1,6 +1,5 @@
-// Package judge watches callers and stand-ins at once, and so knows what the
-// routers cannot: which request really ran where, who waited, and which slots
-// were idle meanwhile.
+// Package judge records events of callers and stand-ins, to check what the routers cannot see
+// themselves: how often each request ran, which requests waited, and which slots were idle meanwhile.
 package judge
 
 import (
@@ -8,37 +7,36 @@
 	"time"
 )
 
-// Request is what is known of one request of a caller.
+// Request is the state of one caller's request.
 type Request struct {
 	Account string
 	Model   string
-	// Zone is the availability zone of the router it was sent to.
+	// Zone is the availability zone of the router that received it.
 	Zone string
-	// NotRepeatable says that it must not run twice.
+	// NotRepeatable reports whether it must not run twice.
 	NotRepeatable bool
-	// Runs is how often a stand-in began it.
+	// Runs counts how often a stand-in started it.
 	Runs  int
 	ended bool
 }
 
-// Server is what is known of one backend server.
+// Server is the state of one backend server.
 type Server struct {
 	Name  string
 	Model string
 	Zone  string
 	Slots int
-	// InFlight is what runs or queues there now, Most the greatest ever.
+	// InFlight counts the requests that run or wait there, MaxInFlight is its maximum.
 	InFlight    int
 	MaxInFlight int
-	// Draining says that operators marked it leaving or stopping.
+	// Draining reports whether operators marked it leaving or stopping.
 	Draining bool
-	// DrainingSince and LastStart give how long new work went on coming.
+	// LastArrival is the arrival time of the last request.
 	DrainingSince time.Time
 	LastArrival   time.Time
 }
 
-// Point is an account's state at a moment: its cumulative service and whether
-// it has work waiting.
+// Point is the state of an account at a time: the tokens served so far, and whether requests wait.
 type Point struct {
 	At      time.Duration
 	Tokens  float64
@@ -51,61 +49,60 @@
 	start    time.Time
 	requests map[string]*Request
 	servers  map[string]*Server
-	// waiting counts requests that were sent and have not begun, by model
-	// and zone and by account.
-	waiting   map[place]int
-	accounts  map[string]int
-	served    map[string]float64
-	points    map[string][]Point
-	cut       map[string]bool
-	last      time.Time
-	busy      float64
-	available float64
-	counting  bool
-	cutShort  int
+	// waiting and waitingByAccount count the requests that were sent and have not started.
+	waiting          map[modelZone]int
+	waitingByAccount map[string]int
+	served           map[string]float64
+	points           map[string][]Point
+	partitioned      map[string]bool
+	lastAdvance      time.Time
+	busy             float64
+	available        float64
+	recording        bool
+	cutStreams       int
 }
 
-type place struct{ model, zone string }
+type modelZone struct{ model, zone string }
 
-// New returns a judge that counts nothing until Count is called.
+// New returns a recorder, which measures nothing before SetRecording(true).
 func New() *Recorder {
 	now := time.Now()
 	return &Recorder{
-		start: now, last: now,
-		requests: map[string]*Request{}, servers: map[string]*Server{}, waiting: map[place]int{},
-		accounts: map[string]int{}, served: map[string]float64{}, points: map[string][]Point{}, cut: map[string]bool{},
+		start: now, lastAdvance: now,
+		requests: map[string]*Request{}, servers: map[string]*Server{}, waiting: map[modelZone]int{},
+		waitingByAccount: map[string]int{}, served: map[string]float64{}, points: map[string][]Point{}, partitioned: map[string]bool{},
 	}
 }
 
-// AddServer makes a backend server known.
-func (j *Recorder) AddServer(s Server) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.servers[s.Name] = &s
+// AddServer adds a backend server.
+func (rec *Recorder) AddServer(s Server) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.servers[s.Name] = &s
 }
 
-// SetRecording starts or ends the time that is measured.
-func (j *Recorder) SetRecording(on bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.advance()
-	j.counting = on
+// SetRecording starts or ends the measured period.
+func (rec *Recorder) SetRecording(on bool) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.advance()
+	rec.recording = on
 }
 
-// SetPartitioned says whether a zone is cut off from the others.
-func (j *Recorder) SetPartitioned(zone string, cut bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.advance()
-	j.cut[zone] = cut
+// SetPartitioned records whether a zone is partitioned from the others.
+func (rec *Recorder) SetPartitioned(zone string, partitioned bool) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.advance()
+	rec.partitioned[zone] = partitioned
 }
 
-// MarkDraining says that operators marked a backend server leaving or stopping.
-func (j *Recorder) MarkDraining(server string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.advance()
-	s := j.servers[server]
+// MarkDraining records that operators marked a backend server leaving or stopping.
+func (rec *Recorder) MarkDraining(server string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.advance()
+	s := rec.servers[server]
 	if s.Draining {
 		return
 	}
@@ -114,178 +111,177 @@
 	s.LastArrival = s.DrainingSince
 }
 
-// RequestSent says that a caller sent a request.
-func (j *Recorder) RequestSent(id string, r Request) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.advance()
-	j.requests[id] = &r
-	j.wait(&r, 1)
+// RequestSent records that a caller sent a request.
+func (rec *Recorder) RequestSent(id string, r Request) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.advance()
+	rec.requests[id] = &r
+	rec.addWaiting(&r, 1)
 }
 
-// RequestEnded says that the caller has its answer, whatever it is.
-func (j *Recorder) RequestEnded(id string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.advance()
-	r := j.requests[id]
+// RequestEnded records that the request ended for the caller, with any result.
+func (rec *Recorder) RequestEnded(id string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.advance()
+	r := rec.requests[id]
 	if r != nil && !r.ended {
 		r.ended = true
 		if r.Runs == 0 {
-			j.wait(r, -1)
+			rec.addWaiting(r, -1)
 		}
 	}
 }
 
-// RequestArrived says that a request reached a backend server.
-func (j *Recorder) RequestArrived(server string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.advance()
-	s := j.servers[server]
+// RequestArrived records that a request arrived at a backend server.
+func (rec *Recorder) RequestArrived(server string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.advance()
+	s := rec.servers[server]
 	s.InFlight++
 	s.LastArrival = time.Now()
-	if j.counting {
+	if rec.recording {
 		s.MaxInFlight = max(s.MaxInFlight, s.InFlight)
 	}
 }
 
-// RequestStarted says that a backend server began a request.
-func (j *Recorder) RequestStarted(id string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.advance()
-	r := j.requests[id]
+// RequestStarted records that a backend server started to run a request.
+func (rec *Recorder) RequestStarted(id string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.advance()
+	r := rec.requests[id]
 	if r == nil {
 		return
 	}
 	r.Runs++
 	if r.Runs == 1 && !r.ended {
-		j.wait(r, -1)
+		rec.addWaiting(r, -1)
 	}
 }
 
-// TokensServed says that a request was served tokens.
-func (j *Recorder) TokensServed(id string, tokens int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.requests[id]
+// TokensServed records tokens served for a request.
+func (rec *Recorder) TokensServed(id string, tokens int) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	r := rec.requests[id]
 	if r == nil {
 		return
 	}
-	j.served[r.Account] += float64(tokens)
-	j.point(r.Account)
+	rec.served[r.Account] += float64(tokens)
+	rec.addPoint(r.Account)
 }
 
-// StreamCut says that a request's stream ended before its end. It counts if
-// the backend server was marked for a planned stop.
-func (j *Recorder) StreamCut(server string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.servers[server].Draining {
-		j.cutShort++
+// StreamCut records that a stream ended early. Only streams of draining backend servers count.
+func (rec *Recorder) StreamCut(server string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	if rec.servers[server].Draining {
+		rec.cutStreams++
 	}
 }
 
-// RequestLeft says that a request left a backend server.
-func (j *Recorder) RequestLeft(server string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.advance()
-	j.servers[server].InFlight--
+// RequestLeft records that a request left a backend server.
+func (rec *Recorder) RequestLeft(server string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.advance()
+	rec.servers[server].InFlight--
 }
 
-func (j *Recorder) wait(r *Request, n int) {
-	j.waiting[place{r.Model, r.Zone}] += n
-	j.accounts[r.Account] += n
-	j.point(r.Account)
+func (rec *Recorder) addWaiting(r *Request, n int) {
+	rec.waiting[modelZone{r.Model, r.Zone}] += n
+	rec.waitingByAccount[r.Account] += n
+	rec.addPoint(r.Account)
 }
 
-func (j *Recorder) point(account string) {
-	if !j.counting {
+func (rec *Recorder) addPoint(account string) {
+	if !rec.recording {
 		return
 	}
-	p := Point{At: time.Since(j.start), Tokens: j.served[account], Waiting: j.accounts[account] > 0}
-	j.points[account] = append(j.points[account], p)
+	p := Point{At: time.Since(rec.start), Tokens: rec.served[account], Waiting: rec.waitingByAccount[account] > 0}
+	rec.points[account] = append(rec.points[account], p)
 }
 
-// advance adds the time since the last event to the slots' account.
-func (j *Recorder) advance() {
+// advance adds the time since its last call to the busy and available slot-seconds.
+func (rec *Recorder) advance() {
 	now := time.Now()
-	dt := now.Sub(j.last).Seconds()
-	j.last = now
-	if !j.counting {
+	elapsed := now.Sub(rec.lastAdvance).Seconds()
+	rec.lastAdvance = now
+	if !rec.recording {
 		return
 	}
-	for _, s := range j.servers {
-		if s.Draining || !j.workFor(s) {
+	for _, s := range rec.servers {
+		if s.Draining || !rec.hasWaiting(s) {
 			continue
 		}
-		j.available += dt * float64(s.Slots)
-		j.busy += dt * float64(min(s.InFlight, s.Slots))
+		rec.available += elapsed * float64(s.Slots)
+		rec.busy += elapsed * float64(min(s.InFlight, s.Slots))
 	}
 }
 
-// workFor reports whether work waits that the server could do.
-func (j *Recorder) workFor(s *Server) bool {
-	for p, n := range j.waiting {
-		if n > 0 && p.model == s.Model && (p.zone == s.Zone || !j.cut[p.zone] && !j.cut[s.Zone]) {
+// hasWaiting reports whether requests wait that the server could run.
+func (rec *Recorder) hasWaiting(s *Server) bool {
+	for p, n := range rec.waiting {
+		if n > 0 && p.model == s.Model && (p.zone == s.Zone || !rec.partitioned[p.zone] && !rec.partitioned[s.Zone]) {
 			return true
 		}
 	}
 	return false
 }
 
-// Result is what the judge saw.
+// Result is the summary of what was recorded.
 type Result struct {
-	// Utilisation is 1 if no work ever waited.
+	// Utilisation is busy over available slot-seconds while requests waited; 1 if none did.
 	Utilisation float64
-	// Overload is the greatest in flight over the slots.
+	// Overload is the maximum of requests in flight over slots.
 	Overload float64
-	// RunTwice counts requests not to be repeated that ran again.
+	// RunTwice counts non-repeatable requests that ran more than once.
 	RunTwice int
-	// CutStreams counts streams that a planned stop cut.
+	// CutStreams counts streams that a planned stop ended early.
 	CutStreams int
-	// NewWorkAfterLeave is the longest time from a mark to the last start.
+	// NewWorkAfterLeave is the longest time from a mark to the last arrival.
 	NewWorkAfterLeave time.Duration
-	// Points are the accounts' states over time.
+	// Points are the states over time, by account.
 	Points map[string][]Point
 }
 
-// Runs reports how often a request ran.
-func (j *Recorder) Runs(id string) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if r := j.requests[id]; r != nil {
+// Runs returns how often a request ran.
+func (rec *Recorder) Runs(id string) int {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	if r := rec.requests[id]; r != nil {
 		return r.Runs
 	}
 	return 0
 }
 
 // SlotSeconds returns the busy and the available slot-seconds so far.
-func (j *Recorder) SlotSeconds() (busy, available float64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.advance()
-	return j.busy, j.available
+func (rec *Recorder) SlotSeconds() (busy, available float64) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.advance()
+	return rec.busy, rec.available
 }
 
-// Result returns what was seen so far.
-func (j *Recorder) Result() Result {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.advance()
-	f := Result{Utilisation: 1, Points: j.points, CutStreams: j.cutShort}
-	if j.available > 0 {
-		f.Utilisation = j.busy / j.available
+// Result returns the summary so far.
+func (rec *Recorder) Result() Result {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.advance()
+	f := Result{Utilisation: 1, Points: rec.points, CutStreams: rec.cutStreams}
+	if rec.available > 0 {
+		f.Utilisation = rec.busy / rec.available
 	}
-	for _, s := range j.servers {
+	for _, s := range rec.servers {
 		f.Overload = max(f.Overload, float64(s.MaxInFlight)/float64(s.Slots))
 		if s.Draining {
 			f.NewWorkAfterLeave = max(f.NewWorkAfterLeave, s.LastArrival.Sub(s.DrainingSince))
 		}
 	}
-	for _, r := range j.requests {
+	for _, r := range rec.requests {
 		if r.NotRepeatable && r.Runs > 1 {
 			f.RunTwice++
 		}
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is a stand-in for the platform's read-only services: named
-// values with revisions and watches, and the list of instances.
+// Package platform is a stand-in for the platform's read-only services: named values with revisions
+// and watches, and the list of instances.
 package platform
 
 import (
@@ -24,14 +24,14 @@
 
 	mu     sync.Mutex
 	values map[string]value
-	// stale holds the values that are served while the platform is stale.
+	// stale is the snapshot of values to serve, nil if the current ones are served.
 	stale   map[string]value
 	down    bool
 	changed chan struct{}
 	calls   int64
 }
 
-// instancesName is the value in which the list is kept.
+// instancesName is the name of the value that holds the list of instances.
 const instancesName = "instances"
 
 // Start serves on ln until Close.
@@ -45,7 +45,7 @@
 	return p
 }
 
-// Close ends the stand-in.
+// Close stops the server.
 func (p *Platform) Close() { _ = p.http.Close() }
 
 // Publish sets a value and returns its revision.
@@ -54,7 +54,7 @@
 	defer p.mu.Unlock()
 	v := value{revision: p.values[name].revision + 1, data: data}
 	p.values[name] = v
-	p.wake()
+	p.notify()
 	return v.revision
 }
 
@@ -67,15 +67,15 @@
 	p.Publish(instancesName, data)
 }
 
-// SetDown makes every call fail, or none.
+// SetDown sets whether every call fails.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
-	p.wake()
+	p.notify()
 }
 
-// SetStale freezes what is served, or lets it run on.
+// SetStale sets whether calls keep returning the values as of now.
 func (p *Platform) SetStale(stale bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,17 +86,17 @@
 			p.stale[name] = v
 		}
 	}
-	p.wake()
+	p.notify()
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls received.
 func (p *Platform) Calls() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-func (p *Platform) wake() {
+func (p *Platform) notify() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -104,11 +104,11 @@
 func (p *Platform) read(name string) (value, bool, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	from := p.values
+	values := p.values
 	if p.stale != nil {
-		from = p.stale
+		values = p.stale
 	}
-	return from[name], p.down, p.changed
+	return values[name], p.down, p.changed
 }
 
 func (p *Platform) get(w http.ResponseWriter, r *http.Request, name string) {
--- a/test/soak/proxy.go
+++ b/test/soak/proxy.go
@@ -60,7 +60,7 @@
 	defer p.untrack(c, up)
 	done := make(chan struct{}, 2)
 	forwardOne := func(to, from net.Conn) {
-		p.forward(to, from)
+		p.copy(to, from)
 		done <- struct{}{}
 	}
 	go forwardOne(up, c)
@@ -68,8 +68,8 @@
 	<-done
 }
 
-// forward copies bytes in one direction until the connection ends.
-func (p *proxy) forward(to, from net.Conn) {
+// copy forwards bytes in one direction until the connection ends.
+func (p *proxy) copy(to, from net.Conn) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
