--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -7,45 +7,45 @@
 	"github.com/yarrowmast/yarrowmast/pkg/once"
 )
 
-// Role is what one part that a router plays costs it at a size.
+// Role is the cost of one role of a router, for a fleet of a given size.
 type Role struct {
 	Name string
-	// State is what it holds, Mechanism what keeps it within bounds.
+	// State describes the state that the role holds, Mechanism what bounds its cost.
 	State     string
 	Mechanism string
 	// MessagesPerSec and BytesPerSec count both directions.
 	MessagesPerSec float64
 	BytesPerSec    float64
-	// CPU is the share of one core, Memory is in bytes.
+	// CPU is a fraction of one core, Memory is in bytes.
 	CPU    float64
 	Memory float64
 }
 
 const micro = 1e-6
 
-// dailyUpdates spreads what happens a number of times a day over the second.
-func dailyUpdates(perDay float64) float64 { return perDay / day.Seconds() }
+// perSecond converts a rate per day to a rate per second.
+func perSecond(perDay float64) float64 { return perDay / day.Seconds() }
 
-// waitingEach is how many waiting requests a node is sized for.
-const waitingEach = 2000
+// waitingPerNode is the number of waiting requests that a node is sized for.
+const waitingPerNode = 2000
 
-// tablePages is on how many pages operators should keep the table at the
-// target size: an edit makes the readers fetch one of them.
+// tablePages is the number of pages that the table is divided into. Readers fetch one page after an
+// edit.
 const tablePages = 16
 
-// ticksPerSec is the rate of a router's own clock.
+// ticksPerSec is the rate of Tick events in a router.
 const ticksPerSec = 20
 
-// load is what one node has to do with requests, which several roles share.
+// load holds the request load of one node, from which the roles derive their costs.
 type load struct {
 	Target
 	Slopes
-	// codec is the seconds to encode or decode one message.
+	// codec is the time to encode or decode one message, in seconds.
 	codec float64
-	// requests and grants are by the second, lent ones counted twice.
+	// requests and grants are per second. A lent lease takes two grants.
 	requests float64
 	grants   float64
-	// models are those with requests under way, waiting those with a queue.
+	// models counts the models with requests in flight, waiting those with waiting requests.
 	models  float64
 	waiting float64
 }
@@ -59,16 +59,15 @@
 	}
 }
 
-// Roles works the roles out. Every request counts as one on a contended pool,
-// which is the dear case: on others standing leases need no message for a
-// request, and a renewal with each report.
+// Roles returns the cost of each role. It assumes that every request goes to a contended pool, which
+// is the most expensive case: other pools use standing leases, which need no message per request.
 func Roles(t Target, s Slopes) []Role {
 	l := newLoad(t, s)
 	return []Role{l.holder(), l.owner(), l.prober(), l.reader(), l.keyHome()}
 }
 
-// leases adds the messages that a holder and an owner exchange.
-func (l load) leases(r *Role) {
+// addLeaseMessages adds the messages that a holder and an owner exchange.
+func (l load) addLeaseMessages(r *Role) {
 	r.add(l.grants, l.GrantBytes+l.FrameBytes, l.codec)
 	r.add(l.requests, l.ReturnBytes+l.FrameBytes, l.codec)
 	r.add(l.models*l.ReportsPerSec, l.ReportBytes+l.FrameBytes, l.codec)
@@ -79,12 +78,12 @@
 func (l load) holder() Role {
 	r := Role{
 		Name:      "holder",
-		State:     fmt.Sprintf("%.0f running, up to %d waiting requests", l.inFlight(), waitingEach),
+		State:     fmt.Sprintf("%.0f running, up to %d waiting requests", l.inFlight(), waitingPerNode),
 		Mechanism: "counts, not requests, travel; reports twice a second; standing leases where nothing waits",
 	}
-	l.leases(&r)
+	l.addLeaseMessages(&r)
 	r.CPU += l.requests*l.RequestMicros*micro + ticksPerSec*l.TickMicros*micro
-	r.Memory = l.WaitingMemory*waitingEach + l.OpenMemory*(waitingEach+l.inFlight())
+	r.Memory = l.WaitingMemory*waitingPerNode + l.OpenMemory*(waitingPerNode+l.inFlight())
 	return r
 }
 
@@ -94,7 +93,7 @@
 		State:     fmt.Sprintf("%.2f pools, %.1f backlogged accounts each", l.ModelZonesPerNode, l.accountsPerModel()),
 		Mechanism: "owners by rendezvous hashing; at most 8 backend servers a pool; shares rarer with more siblings",
 	}
-	l.leases(&r)
+	l.addLeaseMessages(&r)
 	shares := 2 * l.ModelZonesPerNode * (l.Zones - 1) * l.SharesPerSec
 	r.add(shares, l.ShareBytes+l.FrameBytes+l.accountsPerModel()*l.ShareRowBytes, l.codec+l.ShareMicros*micro/2)
 	r.CPU += l.requests * l.GrantMicros * micro
@@ -108,9 +107,9 @@
 		State:     fmt.Sprintf("%.0f members of the zone", l.nodesPerZone()),
 		Mechanism: "four probes a second each, rumours ride on them",
 	}
-	changes := dailyUpdates(l.FailuresPerDay+2*l.RestartsPerDay) / l.Zones
+	changes := perSecond(l.FailuresPerDay+2*l.RestartsPerDay) / l.Zones
 	r.add(4*l.ProbesPerSec, l.ProbeBytes+l.FrameBytes, l.codec+l.ProbeMicros*micro)
-	r.BytesPerSec += changes * 2 * rumourSends * l.RumourBytes
+	r.BytesPerSec += changes * 2 * sendsPerRumour * l.RumourBytes
 	r.Memory = l.nodesPerZone() * l.MemberMemory
 	return r
 }
@@ -122,11 +121,11 @@
 		State:     fmt.Sprintf("%.0f rows, the last 64 changes", rows),
 		Mechanism: "two readers a zone watch pages; one changed row goes to each router",
 	}
-	edits := dailyUpdates(l.ChangesPerDay)
-	whole := rows * l.TableRowBytes
+	edits := perSecond(l.ChangesPerDay)
+	tableBytes := rows * l.TableRowBytes
 	r.add(edits*2*l.nodesPerZone(), l.DeltaBytes+l.FrameBytes, l.codec)
-	r.BytesPerSec += edits * whole / tablePages
-	r.BytesPerSec += dailyUpdates(l.RestartsPerDay) / l.Zones * whole
+	r.BytesPerSec += edits * tableBytes / tablePages
+	r.BytesPerSec += perSecond(l.RestartsPerDay) / l.Zones * tableBytes
 	r.Memory = 3 * rows * l.TableRowMemory
 	return r
 }
@@ -145,8 +144,8 @@
 	return r
 }
 
-// rumourSends is how often a change is passed on by each router.
-const rumourSends = 8
+// sendsPerRumour is how often each router forwards a rumour.
+const sendsPerRumour = 8
 
 func (r *Role) add(perSec, bytes, seconds float64) {
 	r.MessagesPerSec += perSec
@@ -154,7 +153,7 @@
 	r.CPU += perSec * seconds
 }
 
-// Sum adds roles up, for a node that plays them all.
+// Sum returns the cost of a node with all roles.
 func Sum(roles []Role) Role {
 	all := Role{Name: "all on one node"}
 	for _, r := range roles {
@@ -166,8 +165,7 @@
 	return all
 }
 
-// PrintTable writes the roles as a table in Markdown, as docs/CAPACITY.md has
-// it.
+// PrintTable writes the roles as the Markdown table of docs/CAPACITY.md.
 func PrintTable(w io.Writer, t Target, s Slopes) error {
 	roles := Roles(t, s)
 	_, err := fmt.Fprintln(w, "| role | state | messages/s | bytes/s | core | memory | carried by |\n|---|---|---|---|---|---|---|")
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -16,11 +16,11 @@
 	"github.com/yarrowmast/yarrowmast/pkg/wire"
 )
 
-// Slopes are what was measured. Bytes are of frames on a connection that has
-// carried the names before; times are of one core.
+// Slopes are measured costs per message, step and element. Bytes are sizes of frames on a connection
+// that has sent the same names before. Times are for one core.
 type Slopes struct {
 	Machine string `yaml:"machine"`
-	// Bytes of one message, and of one more element in it.
+	// Bytes of one message, and of each element (row) in it.
 	GrantBytes       float64 `yaml:"grant_bytes"`
 	ReturnBytes      float64 `yaml:"return_bytes"`
 	DemandBytes      float64 `yaml:"demand_bytes"`
@@ -45,10 +45,10 @@
 	ProbeMicros   float64 `yaml:"probe_us"`
 	ClaimMicros   float64 `yaml:"claim_us"`
 	TickMicros    float64 `yaml:"tick_us"`
-	// Bytes of memory held for one of each.
+	// Bytes of memory for each waiting request, account, key and so on.
 	WaitingMemory float64 `yaml:"waiting_memory"`
-	// OpenMemory is of a request's connection, buffers and task, as
-	// BenchmarkWaiting in internal/node prints it.
+	// OpenMemory covers the connection, buffers and goroutines of a request. BenchmarkWaiting in
+	// internal/node measures it.
 	OpenMemory     float64 `yaml:"open_memory"`
 	AccountMemory  float64 `yaml:"account_memory"`
 	KeyMemory      float64 `yaml:"key_memory"`
@@ -56,7 +56,7 @@
 	MemberMemory   float64 `yaml:"member_memory"`
 }
 
-// Load reads slopes from a file that Measure's result was written to.
+// Load reads slopes from a YAML file.
 func Load(file string) (Slopes, error) {
 	var s Slopes
 	data, err := os.ReadFile(file)
@@ -66,7 +66,7 @@
 	return s, strictyaml.Decode(file, data, &s).Err()
 }
 
-// Measure measures every slope on this machine, in a few seconds.
+// Measure measures every slope but OpenMemory on this machine.
 func Measure() Slopes {
 	s := Slopes{Machine: fmt.Sprintf("%d cores, %s/%s, %s", runtime.NumCPU(), runtime.GOOS, runtime.GOARCH, runtime.Version())}
 	s.measureBytes()
@@ -99,19 +99,19 @@
 		return &wire.Probe{Seq: 1000, Incarnation: source.Epoch, Table: 1600, Rumours: make([]wire.Rumour, n)}
 	}
 	s.FrameBytes = frameHeader
-	s.GrantBytes = size(&wire.Grant{For: p, Seq: 1000, Stamp: stamp, TTLMillis: 1500, Source: source,
+	s.GrantBytes = encodedSize(&wire.Grant{For: p, Seq: 1000, Stamp: stamp, TTLMillis: 1500, Source: source,
 		Leases: []wire.Lease{{ID: 1000, Backend: "form-12", Account: accountName(1)}}})
-	s.ReturnBytes = size(&wire.Return{Pool: p, Epoch: source.Epoch, Done: []wire.LeaseUse{{ID: 1000, Tokens: 300}}})
-	s.RenewBytes = size(&wire.Renew{Pool: p, Stamp: stamp})
+	s.ReturnBytes = encodedSize(&wire.Return{Pool: p, Epoch: source.Epoch, Done: []wire.LeaseUse{{ID: 1000, Tokens: 300}}})
+	s.RenewBytes = encodedSize(&wire.Renew{Pool: p, Stamp: stamp})
 	s.DemandBytes, s.DemandRowBytes = slope(demand)
 	s.ReportBytes, s.ReportRowBytes = slope(report)
 	s.ShareBytes, s.ShareRowBytes = slope(share)
 	s.ProbeBytes, s.RumourBytes = slope(probe)
-	s.ClaimBytes = size(&wire.Claim{Seq: 1000, Key: accountName(1) + "\x00order-123456", Request: "port-louis-0-abcdef-1000", At: stamp})
-	s.ClaimAnswerBytes = size(&wire.ClaimReply{Seq: 1000})
-	whole := func(n int) any { return &wire.FullTable{Revision: 1600, Accounts: sampleTable(n).Accounts} }
-	_, s.TableRowBytes = slope(whole)
-	s.DeltaBytes = size(&wire.TableDelta{Delta: table.Delta{From: 1600, To: 1601, Digest: 1 << 60, Accounts: sampleTable(1).Accounts}})
+	s.ClaimBytes = encodedSize(&wire.Claim{Seq: 1000, Key: accountName(1) + "\x00order-123456", Request: "port-louis-0-abcdef-1000", At: stamp})
+	s.ClaimAnswerBytes = encodedSize(&wire.ClaimReply{Seq: 1000})
+	fullTable := func(n int) any { return &wire.FullTable{Revision: 1600, Accounts: sampleTable(n).Accounts} }
+	_, s.TableRowBytes = slope(fullTable)
+	s.DeltaBytes = encodedSize(&wire.TableDelta{Delta: table.Delta{From: 1600, To: 1601, Digest: 1 << 60, Accounts: sampleTable(1).Accounts}})
 }
 
 func sampleWaiting(n int) []wire.Waiting {
@@ -143,8 +143,8 @@
 	return t
 }
 
-// size returns the bytes of a message sent the second time on a connection.
-func size(msg any) float64 {
+// encodedSize returns the size of a message that is sent for the second time on a connection.
+func encodedSize(msg any) float64 {
 	var buf bytes.Buffer
 	enc := wire.NewEncoder(&buf)
 	for range 2 {
@@ -156,25 +156,25 @@
 	return float64(buf.Len())
 }
 
-// slope returns the size without elements and the growth for each.
-func slope(msg func(n int) any) (base, each float64) {
-	const many = 100
-	base = size(msg(0))
-	return base, (size(msg(many)) - base) / many
+// slope returns the size of a message without elements, and the size of each element.
+func slope(msg func(n int) any) (empty, each float64) {
+	const count = 100
+	empty = encodedSize(msg(0))
+	return empty, (encodedSize(msg(count)) - empty) / count
 }
 
-// timed returns the microseconds of one call of f.
-func timed(f func()) float64 {
-	const least = 200 * time.Millisecond
+// microsPerCall returns the mean duration of a call of f, in microseconds.
+func microsPerCall(f func()) float64 {
+	const minDuration = 200 * time.Millisecond
 	n := 0
-	begun := time.Now()
-	for time.Since(begun) < least {
+	start := time.Now()
+	for time.Since(start) < minDuration {
 		for range 10 {
 			f()
 		}
 		n += 10
 	}
-	return float64(time.Since(begun).Microseconds()) / float64(n)
+	return float64(time.Since(start).Microseconds()) / float64(n)
 }
 
 func (s *Slopes) measureTimes() {
@@ -183,14 +183,14 @@
 	s.measureOwner()
 	m := member.New("a", 1, 1)
 	now := time.Duration(0)
-	s.ProbeMicros = timed(func() {
+	s.ProbeMicros = microsPerCall(func() {
 		now += time.Second
 		m.Step(now, member.Probe{From: "b", Msg: &wire.Probe{Seq: 1, Incarnation: 2}})
 	})
 	h := once.New("a", 0)
 	h.SetRouters(0, []string{"a", "b", "c"})
 	i := 0
-	s.ClaimMicros = timed(func() {
+	s.ClaimMicros = microsPerCall(func() {
 		i++
 		c := &wire.Claim{Key: fmt.Sprint(i % 100_000), Request: "r"}
 		h.Claim(time.Duration(i), c)
@@ -202,22 +202,22 @@
 	msg := &wire.Return{Pool: p, Epoch: 1 << 60, Done: []wire.LeaseUse{{ID: 1000, Tokens: 300}}}
 	var buf bytes.Buffer
 	enc, dec := wire.NewEncoder(&buf), wire.NewDecoder()
-	s.CodecMicros = timed(func() {
+	s.CodecMicros = microsPerCall(func() {
 		buf.Reset()
 		_ = enc.Append(msg)
 		_, _ = dec.Decode(buf.Bytes())
 	})
 }
 
-// measureHolder times one request through a holder: arrival, grant, end.
+// measureHolder measures arrival, grant and end of a request in a holder.
 func (s *Slopes) measureHolder() {
 	p := wire.NewPool("m", "z", 0)
 	h := hold.New()
-	home := hold.Home{Pool: p, Owner: "o", Inc: 1}
-	h.Step(0, hold.Lenders{Zone: "z", Of: map[wire.Pool]hold.Home{p: home}})
-	h.Step(0, hold.Homes{Of: map[string]hold.Home{"m": home}})
+	owner := hold.Home{Pool: p, Owner: "o", Inc: 1}
+	h.Step(0, hold.Lenders{Zone: "z", Of: map[wire.Pool]hold.Home{p: owner}})
+	h.Step(0, hold.Homes{Of: map[string]hold.Home{"m": owner}})
 	now, id := time.Second, uint64(0)
-	s.RequestMicros = timed(func() {
+	s.RequestMicros = microsPerCall(func() {
 		now += time.Millisecond
 		id++
 		h.Step(now, hold.Arrive{ID: id, Account: accountName(int(id % 9)), Model: "m", Deadline: now + time.Minute})
@@ -226,14 +226,14 @@
 			Leases: []wire.Lease{{ID: id, Backend: "b", Account: accountName(int(id % 9))}}}})
 		h.Step(now, hold.Finished{ID: id, Tokens: 100, Sent: true})
 	})
-	s.TickMicros = timed(func() {
+	s.TickMicros = microsPerCall(func() {
 		now += 50 * time.Millisecond
 		h.Step(now, hold.Tick{})
 	})
 }
 
-// NewOwner returns an owner with one backend server of the slots and waiting
-// work of so many accounts, which the benchmarks use too.
+// NewOwner returns an owner with one backend server and with waiting requests of the given number of
+// accounts.
 func NewOwner(accounts, slots int) (*pool.Owner, wire.Pool) {
 	p := wire.NewPool("m", "z", 0)
 	o := pool.New("o", p, 0, pool.WithQuiet(0))
@@ -246,15 +246,15 @@
 	return o, p
 }
 
-// Regrant returns a function that gives the oldest lease back, on which the
-// owner grants the slot again.
+// Regrant returns a function that returns the oldest lease to the owner, which then grants the slot
+// again.
 func Regrant(o *pool.Owner, p wire.Pool) func() {
 	now, id := time.Second, uint64(0)
 	return func() {
 		now += time.Millisecond
 		id++
 		if id%100 == 1 {
-			// An owner grants nothing to a router that it does not hear.
+			// An owner grants nothing to a router that has stopped sending its demand.
 			o.Step(now, pool.Demand{From: "h", Msg: &wire.Demand{Pool: p, Seq: id + 1, Seen: id, Stamp: wire.StampOf(now)}})
 		}
 		o.Step(now, pool.Return{From: "h", Msg: &wire.Return{Pool: p, Epoch: 0, Done: []wire.LeaseUse{{ID: id, Tokens: 100}}}})
@@ -263,7 +263,7 @@
 
 func (s *Slopes) measureOwner() {
 	o, p := NewOwner(10, 64)
-	s.GrantMicros = timed(Regrant(o, p))
+	s.GrantMicros = microsPerCall(Regrant(o, p))
 	q := wire.NewPool("m", "y", 0)
 	o.Step(time.Hour, pool.Siblings{Nodes: map[wire.Pool]string{q: "n"}})
 	seq := uint64(0)
@@ -271,38 +271,38 @@
 	for i := range served {
 		served[i] = wire.Served{Account: accountName(i), Tokens: 1}
 	}
-	s.ShareMicros = timed(func() {
+	s.ShareMicros = microsPerCall(func() {
 		seq++
 		o.Step(time.Hour, pool.Share{From: "n", Msg: &wire.Share{From: q, To: p, Epoch: 1, Seq: seq, Served: served}})
 	})
 }
 
-// held returns the bytes that f's result keeps alive, for each of n.
-func held(n int, f func(n int) any) float64 {
+// heapBytesEach returns the heap bytes that the result of f retains, divided by n.
+func heapBytesEach(n int, f func(n int) any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := f(n)
+	result := f(n)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(result)
 	return max(0, float64(after.HeapAlloc)-float64(before.HeapAlloc)) / float64(n)
 }
 
 func (s *Slopes) measureMemory() {
-	const many = 20_000
-	s.WaitingMemory = held(many, func(n int) any {
+	const count = 20_000
+	s.WaitingMemory = heapBytesEach(count, func(n int) any {
 		h := hold.New()
 		for i := range n {
 			h.Step(1, hold.Arrive{ID: uint64(i), Account: accountName(i % 10), Model: "m", Deadline: time.Hour})
 		}
 		return h
 	})
-	s.AccountMemory = held(many, func(n int) any {
+	s.AccountMemory = heapBytesEach(count, func(n int) any {
 		o, _ := NewOwner(n, 1)
 		return o
 	})
-	s.KeyMemory = held(many, func(n int) any {
+	s.KeyMemory = heapBytesEach(count, func(n int) any {
 		h := once.New("a", 0)
 		h.SetRouters(0, []string{"a"})
 		for i := range n {
@@ -310,8 +310,8 @@
 		}
 		return h
 	})
-	s.TableRowMemory = held(many, func(n int) any { return sampleTable(n) })
-	s.MemberMemory = held(many, func(n int) any {
+	s.TableRowMemory = heapBytesEach(count, func(n int) any { return sampleTable(n) })
+	s.MemberMemory = heapBytesEach(count, func(n int) any {
 		m := member.New("a", 1, 1)
 		var peers []member.Peer
 		for i := range n {
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -1,5 +1,5 @@
-// Package capacity works out what each role of a router costs at the size the
-// fleet is designed for, from slopes that were measured.
+// Package capacity estimates what each role of a router costs at the size that the fleet is designed
+// for, from measured costs per message, step and element.
 package capacity
 
 import (
@@ -36,9 +36,7 @@
 	ModelZonesPerNode float64
 }
 
-// DesignTarget is the size that decides the design. The share of keyed requests and
-// of leases lent between zones are assumptions: the first is a guess, the
-// second is what the ramdin scenario measured.
+// DesignTarget returns the size that the fleet is designed for.
 func DesignTarget() Target {
 	const zones = 14
 	t := Target{
@@ -55,19 +53,19 @@
 	return t
 }
 
-// perNode returns the requests a second of one node.
+// perNode returns the requests per second of one node.
 func (t Target) perNode() float64 { return t.RequestsPerSec / t.Nodes }
 
-// inFlight returns the requests that run at once through one node.
+// inFlight returns the requests in flight at one node.
 func (t Target) inFlight() float64 {
 	tokens := t.TokensPerSec / t.RequestsPerSec
 	return t.perNode() * tokens * t.SecondsPerToken
 }
 
-// accountsPerModel returns the accounts with a backlog on one model.
+// accountsPerModel returns the number of backlogged accounts of one model.
 func (t Target) accountsPerModel() float64 { return t.Backlogged / t.Models }
 
-// nodesPerZone returns the routers of a zone.
+// nodesPerZone returns the number of routers in a zone.
 func (t Target) nodesPerZone() float64 { return t.Nodes / t.Zones }
 
 const day = 24 * time.Hour
--- a/internal/measure/baseline.go
+++ b/internal/measure/baseline.go
@@ -16,63 +16,63 @@
 	"github.com/yarrowmast/yarrowmast/pkg/verdict"
 )
 
-// baseline is a scheduler without a fleet. As central, one of it serves all
-// routers and sees everything at once. As local, each router has its own,
-// which is fair among its own callers and knows backend servers only by the
-// load that they report.
+// baseline is a scheduler to compare the fleet with. A central one serves all routers and knows the
+// whole state. A local one serves one router, shares only among its own callers, and knows the use
+// of backend servers by other routers from the load that they report.
 type baseline struct {
 	cluster *cluster
-	// local says that backend servers are shared with others.
+	// local reports whether other schedulers use the same backend servers.
 	local bool
 	stop  chan struct{}
 
 	mu      sync.Mutex
 	nextID  uint64
-	servers []*baseServer
-	models  map[string]*baseModel
-	running map[uint64]*baseRequest
+	servers []*baselineServer
+	models  map[string]*baselineModel
+	running map[uint64]*baselineRequest
 }
 
-type baseServer struct {
+type baselineServer struct {
 	table.Backend
-	// used is what was started from here, reported what the server said.
-	used     int
-	reported int
+	// started counts the requests that run by this scheduler, reportedLoad those of others
+	// according to the server.
+	started      int
+	reportedLoad int
 }
 
-type baseModel struct {
-	queue   *fair.Queue
-	waiting map[string][]*baseRequest
-	mean    float64
+type baselineModel struct {
+	queue      *fair.Queue
+	waiting    map[string][]*baselineRequest
+	meanTokens float64
 }
 
-type baseRequest struct {
+type baselineRequest struct {
 	front.Request
 	id      uint64
 	zone    string
 	arrived time.Time
-	answer  chan front.Grant
-	server  *baseServer
+	granted chan front.Grant
+	server  *baselineServer
 	served  *atomic.Int64
 	charged float64
 }
 
 const (
-	settleEvery   = 50 * time.Millisecond
-	firstEstimate = 100
-	meanGain      = 0.1
+	chargeInterval = 50 * time.Millisecond
+	initialMean    = 100
+	meanWeight     = 0.1
 )
 
 // newBaseline returns a central scheduler, or a local one for a router.
 func newBaseline(c *cluster, name string) *baseline {
 	b := &baseline{
 		cluster: c, local: name != "", stop: make(chan struct{}),
-		models: map[string]*baseModel{}, running: map[uint64]*baseRequest{},
+		models: map[string]*baselineModel{}, running: map[uint64]*baselineRequest{},
 	}
 	for _, s := range c.table.Backends {
-		b.servers = append(b.servers, &baseServer{Backend: s})
+		b.servers = append(b.servers, &baselineServer{Backend: s})
 		if b.models[s.Models[0]] == nil {
-			m := &baseModel{queue: fair.New(), waiting: map[string][]*baseRequest{}, mean: firstEstimate}
+			m := &baselineModel{queue: fair.New(), waiting: map[string][]*baselineRequest{}, meanTokens: initialMean}
 			for _, a := range c.table.Accounts {
 				m.queue.SetWeight(a.Name, a.Weight)
 			}
@@ -85,18 +85,18 @@
 
 func (b *baseline) close() { close(b.stop) }
 
-// run settles charges as tokens come; a local one also reads loads.
+// run updates charges by the tokens served, and reads loads if the scheduler is local.
 func (b *baseline) run() {
-	settle := time.NewTicker(settleEvery)
-	defer settle.Stop()
+	charge := time.NewTicker(chargeInterval)
+	defer charge.Stop()
 	load := time.NewTicker(router.DefaultLoadEvery)
 	defer load.Stop()
 	for {
 		select {
 		case <-b.stop:
 			return
-		case <-settle.C:
-			b.settleAll()
+		case <-charge.C:
+			b.chargeAll()
 		case <-load.C:
 			b.readLoads()
 		}
@@ -113,29 +113,29 @@
 		n, err := loads.Load(context.Background(), s.Backend)
 		b.mu.Lock()
 		if err == nil {
-			s.reported = max(0, n-s.used)
+			s.reportedLoad = max(0, n-s.started)
 		}
 		b.dispatch(b.models[s.Models[0]])
 		b.mu.Unlock()
 	}
 }
 
-func (b *baseline) settleAll() {
+func (b *baseline) chargeAll() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range b.running {
-		b.settle(r, max(r.charged, float64(r.served.Load())))
+		b.charge(r, max(r.charged, float64(r.served.Load())))
 	}
 }
 
-func (b *baseline) settle(r *baseRequest, due float64) {
-	b.models[r.Model].queue.Charge(r.Account, due-r.charged)
-	r.charged = due
+func (b *baseline) charge(r *baselineRequest, total float64) {
+	b.models[r.Model].queue.Charge(r.Account, total-r.charged)
+	r.charged = total
 }
 
-// dispatch starts waiting requests while there are free slots, the account
-// with the least service first.
-func (b *baseline) dispatch(m *baseModel) {
+// dispatch starts waiting requests while there are free slots, first for the account with the
+// least service.
+func (b *baseline) dispatch(m *baselineModel) {
 	for {
 		next, ok := m.queue.Min()
 		if !ok {
@@ -147,9 +147,9 @@
 	}
 }
 
-func (b *baseline) startOne(m *baseModel, account string) bool {
+func (b *baseline) startOne(m *baselineModel, account string) bool {
 	for i, r := range m.waiting[account] {
-		s := b.roomiest(r)
+		s := b.mostFree(r)
 		if s == nil {
 			continue
 		}
@@ -158,10 +158,10 @@
 			m.queue.Deactivate(account)
 		}
 		r.server = s
-		s.used++
+		s.started++
 		b.running[r.id] = r
-		b.settle(r, m.mean)
-		r.answer <- front.Grant{
+		b.charge(r, m.meanTokens)
+		r.granted <- front.Grant{
 			ID: r.id, Backend: s.Name, Address: s.Address, Served: r.served,
 			MayStart: func() bool { return true }, Waited: r.Waited + time.Since(r.arrived),
 		}
@@ -170,10 +170,10 @@
 	return false
 }
 
-func (b *baseline) roomiest(r *baseRequest) *baseServer {
-	var best *baseServer
+func (b *baseline) mostFree(r *baselineRequest) *baselineServer {
+	var best *baselineServer
 	for _, s := range b.servers {
-		if s.Models[0] != r.Model || !b.open(s, r.zone) || s.free() <= 0 {
+		if s.Models[0] != r.Model || !b.available(s, r.zone) || s.free() <= 0 {
 			continue
 		}
 		if best == nil || s.free() > best.free() {
@@ -183,68 +183,68 @@
 	return best
 }
 
-func (s *baseServer) free() int { return s.Slots - s.used - s.reported }
+func (s *baselineServer) free() int { return s.Slots - s.started - s.reportedLoad }
 
-func (b *baseline) open(s *baseServer, zone string) bool {
+func (b *baseline) available(s *baselineServer, zone string) bool {
 	return b.cluster.reachable(zone, s.Zone) && b.cluster.serving(s.Name)
 }
 
-// schedulerFor returns the baseline as the scheduler of a router in a zone.
+// schedulerFor returns a constructor of the scheduler for a router in a zone.
 func (b *baseline) schedulerFor(zone string) func(*router.Router) front.Scheduler {
-	return func(r *router.Router) front.Scheduler { return &baselineAt{b: b, zone: zone, router: r} }
+	return func(r *router.Router) front.Scheduler { return &baselineScheduler{b: b, zone: zone, router: r} }
 }
 
-// baselineAt is a baseline as one router uses it.
-type baselineAt struct {
+// baselineScheduler implements front.Scheduler for one router.
+type baselineScheduler struct {
 	b      *baseline
 	zone   string
 	router *router.Router
 }
 
 // Table implements front.Scheduler.
-func (x *baselineAt) Table() *table.Table { return x.router.Table() }
+func (x *baselineScheduler) Table() *table.Table { return x.router.Table() }
 
-// CheckAdmission implements front.Scheduler: every request is taken.
-func (x *baselineAt) CheckAdmission(front.Request) *verdict.Error { return nil }
+// CheckAdmission implements front.Scheduler. It admits every request.
+func (x *baselineScheduler) CheckAdmission(front.Request) *verdict.Error { return nil }
 
-// Overloaded implements front.Scheduler: these routers queue all they get.
-func (x *baselineAt) Overloaded() bool { return false }
+// Overloaded implements front.Scheduler.
+func (x *baselineScheduler) Overloaded() bool { return false }
 
-// MayForward implements front.Scheduler: nothing is handed on.
-func (x *baselineAt) MayForward(front.Request) bool { return false }
+// MayForward implements front.Scheduler. It forwards nothing.
+func (x *baselineScheduler) MayForward(front.Request) bool { return false }
 
 // Shedding implements front.Scheduler.
-func (x *baselineAt) Shedding() bool { return false }
+func (x *baselineScheduler) Shedding() bool { return false }
 
 // SpendRetry implements front.Scheduler.
-func (x *baselineAt) SpendRetry(front.Request) bool { return true }
+func (x *baselineScheduler) SpendRetry(front.Request) bool { return true }
 
 // Claim implements front.Scheduler.
-func (x *baselineAt) Claim(context.Context, front.Claim) error { return nil }
+func (x *baselineScheduler) Claim(context.Context, front.Claim) error { return nil }
 
 // Unclaim implements front.Scheduler.
-func (x *baselineAt) Unclaim(front.Claim) {}
+func (x *baselineScheduler) Unclaim(front.Claim) {}
 
 // Acquire implements front.Scheduler.
-func (x *baselineAt) Acquire(ctx context.Context, req front.Request) (front.Grant, error) {
+func (x *baselineScheduler) Acquire(ctx context.Context, req front.Request) (front.Grant, error) {
 	b := x.b
 	b.mu.Lock()
 	m := b.models[req.Model]
 	b.nextID++
-	r := &baseRequest{Request: req, id: b.nextID, zone: x.zone, arrived: time.Now(), answer: make(chan front.Grant, 1), served: &atomic.Int64{}}
+	r := &baselineRequest{Request: req, id: b.nextID, zone: x.zone, arrived: time.Now(), granted: make(chan front.Grant, 1), served: &atomic.Int64{}}
 	m.waiting[req.Account] = append(m.waiting[req.Account], r)
 	m.queue.Activate(req.Account, true)
 	b.dispatch(m)
 	b.mu.Unlock()
 	select {
-	case g := <-r.answer:
+	case g := <-r.granted:
 		return g, nil
 	case <-ctx.Done():
 	}
-	return front.Grant{}, x.giveUp(ctx, m, r)
+	return front.Grant{}, x.cancel(ctx, m, r)
 }
 
-func (x *baselineAt) giveUp(ctx context.Context, m *baseModel, r *baseRequest) error {
+func (x *baselineScheduler) cancel(ctx context.Context, m *baselineModel, r *baselineRequest) error {
 	b := x.b
 	b.mu.Lock()
 	for i, w := range m.waiting[r.Account] {
@@ -266,7 +266,7 @@
 }
 
 // Release implements front.Scheduler.
-func (x *baselineAt) Release(g front.Grant, u front.Usage) {
+func (x *baselineScheduler) Release(g front.Grant, u front.Usage) {
 	b := x.b
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -275,11 +275,11 @@
 		return
 	}
 	delete(b.running, g.ID)
-	r.server.used--
-	b.settle(r, float64(u.Tokens))
+	r.server.started--
+	b.charge(r, float64(u.Tokens))
 	m := b.models[r.Model]
 	if u.Sent {
-		m.mean += meanGain * (float64(u.Tokens) - m.mean)
+		m.meanTokens += meanWeight * (float64(u.Tokens) - m.meanTokens)
 	}
 	b.dispatch(m)
 }
--- a/internal/measure/cluster.go
+++ b/internal/measure/cluster.go
@@ -24,56 +24,56 @@
 	"github.com/yarrowmast/yarrowmast/standin/platform"
 )
 
-// The policies.
+// Policies that a scenario can run with.
 const (
 	PolicyFleet   = "fleet"
 	PolicyLocal   = "local"
 	PolicyCentral = "central"
-	// PolicyOwners is the fleet with the owners of backend servers that serve operators'
-	// platforms.
+	// PolicyOwners is the fleet with the scheduler used on operators' platforms, in which each
+	// backend server has an owner.
 	PolicyOwners = "owners"
 )
 
 const (
 	anyPort = "127.0.0.1:0"
-	// engineStep is the time between two chunks of a stand-in.
+	// engineStep is the chunk interval of the stand-ins.
 	engineStep = 20 * time.Millisecond
-	// loadLag is how old the load is that a stand-in reports.
+	// loadLag is the LoadLag of the stand-ins.
 	loadLag      = 300 * time.Millisecond
 	readyTimeout = 15 * time.Second
 )
 
 // cluster is a running fleet with its stand-ins.
 type cluster struct {
-	scenario *Scenario
-	policy   string
-	judge    *judge.Recorder
-	fabric   *fabric.Network
-	platform *platform.Platform
-	address  string
-	engines  map[string]*engine.Engine
-	table    table.Table
-	central  *baseline
-	versions *versions
-	state    *state
+	scenario     *Scenario
+	policy       string
+	recorder     *judge.Recorder
+	fabric       *fabric.Network
+	platform     *platform.Platform
+	platformAddr string
+	engines      map[string]*engine.Engine
+	table        table.Table
+	central      *baseline
+	versions     *versions
+	state        *state
 
 	mu    sync.Mutex
 	nodes map[string]*node.Node
-	// fixed are the settings of each router with the ports it was given.
-	fixed map[string]config.Settings
+	// settingsByRouter holds the settings of each router, with the ports that it listens on.
+	settingsByRouter map[string]config.Settings
 }
 
 func startCluster(s *Scenario, policy string) (*cluster, error) {
 	c := &cluster{
-		scenario: s, policy: policy, judge: judge.New(), fabric: fabric.New(s.ZoneLatency),
-		engines: map[string]*engine.Engine{}, nodes: map[string]*node.Node{}, fixed: map[string]config.Settings{},
+		scenario: s, policy: policy, recorder: judge.New(), fabric: fabric.New(s.ZoneLatency),
+		engines: map[string]*engine.Engine{}, nodes: map[string]*node.Node{}, settingsByRouter: map[string]config.Settings{},
 		versions: newVersions(), state: newState(),
 	}
 	ln, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		return nil, fmt.Errorf("measure: listen: %w", err)
 	}
-	c.address = ln.Addr().String()
+	c.platformAddr = ln.Addr().String()
 	c.platform = platform.Start(ln)
 	if err := c.startEngines(); err != nil {
 		return nil, err
@@ -98,9 +98,9 @@
 			if err != nil {
 				return fmt.Errorf("measure: listen: %w", err)
 			}
-			c.judge.AddServer(judge.Server{Name: b.Name, Model: b.Model, Zone: z.Name, Slots: b.Slots})
+			c.recorder.AddServer(judge.Server{Name: b.Name, Model: b.Model, Zone: z.Name, Slots: b.Slots})
 			c.engines[b.Name] = engine.Start(engine.Config{
-				Name: b.Name, Slots: b.Slots, TokensPerSecond: b.TokensPerSecond, ChunkInterval: engineStep, LoadLag: loadLag, Recorder: c.judge,
+				Name: b.Name, Slots: b.Slots, TokensPerSecond: b.TokensPerSecond, ChunkInterval: engineStep, LoadLag: loadLag, Recorder: c.recorder,
 			}, ln)
 			address := ln.Addr().String()
 			c.fabric.Register(address, z.Name, b.Name)
@@ -120,12 +120,12 @@
 	return nil
 }
 
-// maxQueued lets floods queue instead of being refused at once.
+// maxQueued is high enough to queue the requests of a flood instead of refusing them.
 const maxQueued = 5000
 
 func accountKey(name string) string { return "key of " + name }
 
-// publishTable publishes the table as it is now and returns its revision.
+// publishTable publishes the current table and returns its revision.
 func (c *cluster) publishTable() uint64 {
 	var buf bytes.Buffer
 	enc := yaml.NewEncoder(&buf)
@@ -137,10 +137,10 @@
 
 func (c *cluster) settings(zone, name string) config.Settings {
 	s := config.Defaults()
-	s.Name, s.Zone, s.Platform = name, zone, c.address
+	s.Name, s.Zone, s.Platform = name, zone, c.platformAddr
 	s.Listen = config.Listen{Callers: anyPort, Peers: anyPort, Admin: anyPort}
-	if old, ok := c.fixed[name]; ok {
-		return old
+	if used, ok := c.settingsByRouter[name]; ok {
+		return used
 	}
 	return s
 }
@@ -149,14 +149,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.settings(zone, name)
-	fleet, err := parsePolicy(c.policy)
+	options, err := parsePolicy(c.policy)
 	if err != nil {
 		return err
 	}
 	opts := []node.Option{
 		node.WithDialer(c.fabric.Dialer(zone, name)),
 		node.WithLogger(slog.New(slog.DiscardHandler)),
-		node.WithRouter(router.WithPool(fleet.pool...), router.WithHold(fleet.hold...), router.WithObserver(c.versions.of(name))),
+		node.WithRouter(router.WithPool(options.pool...), router.WithHold(options.hold...), router.WithObserver(c.versions.observer(name))),
 	}
 	switch c.policy {
 	case PolicyCentral:
@@ -171,10 +171,10 @@
 		return err
 	}
 	s.Listen = n.ListenAddresses()
-	c.fixed[name] = s
+	c.settingsByRouter[name] = s
 	c.nodes[name] = n
 	if n.Router == nil {
-		go c.versions.follow(name, n.Dispatch)
+		go c.versions.poll(name, n.Dispatch)
 	}
 	for _, a := range []string{s.Listen.Callers, s.Listen.Peers, s.Listen.Admin} {
 		c.fabric.Register(a, zone, name)
@@ -186,7 +186,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []client.Instance
-	for _, s := range c.fixed {
+	for _, s := range c.settingsByRouter {
 		list = append(list, client.Instance{Name: s.Name, Zone: s.Zone, Address: s.Listen.Peers, Admin: s.Listen.Admin, State: "live"})
 	}
 	c.platform.PublishInstances(list)
@@ -198,8 +198,8 @@
 	return c.nodes[name]
 }
 
-// each calls f for every router that runs.
-func (c *cluster) each(f func(name string, n *node.Node)) {
+// forEachNode calls f for every running router.
+func (c *cluster) forEachNode(f func(name string, n *node.Node)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, n := range c.nodes {
@@ -207,13 +207,13 @@
 	}
 }
 
-// waitReady waits until every router has the table and knows its zone.
+// waitReady waits until every router has the table and knows the other routers of its zone.
 func (c *cluster) waitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		ready := true
-		c.each(func(_ string, n *node.Node) {
-			ready = ready && isReady(n) && c.knowsZone(n)
+		c.forEachNode(func(_ string, n *node.Node) {
+			ready = ready && isReady(n) && c.knowsZoneMembers(n)
 		})
 		if ready {
 			time.Sleep(pool.DefaultTTL)
@@ -232,9 +232,9 @@
 	return n.Dispatch.Table() != nil
 }
 
-func (c *cluster) knowsZone(n *node.Node) bool {
+func (c *cluster) knowsZoneMembers(n *node.Node) bool {
 	if n.Router == nil {
-		return len(n.Dispatch.Status().Live)+1 >= len(c.fixed)
+		return len(n.Dispatch.Status().Live)+1 >= len(c.settingsByRouter)
 	}
 	s := n.Router.Status()
 	known := 1
@@ -253,7 +253,7 @@
 
 func (c *cluster) close() {
 	var all []*node.Node
-	c.each(func(_ string, n *node.Node) { all = append(all, n) })
+	c.forEachNode(func(_ string, n *node.Node) { all = append(all, n) })
 	var wg sync.WaitGroup
 	for _, n := range all {
 		wg.Go(n.Kill)
@@ -266,8 +266,8 @@
 	c.central.close()
 }
 
-// stopNode ends a router as a crash does.
-func (c *cluster) stopNode(name string) {
+// killNode stops a router without draining it.
+func (c *cluster) killNode(name string) {
 	n := c.node(name)
 	c.mu.Lock()
 	delete(c.nodes, name)
--- a/internal/measure/fairness.go
+++ b/internal/measure/fairness.go
@@ -7,21 +7,20 @@
 	"github.com/yarrowmast/yarrowmast/standin/judge"
 )
 
-// window is a difference of weighted service between two accounts, in tokens,
-// and between which moments it came about.
+// window is a period in which the weighted service of two accounts diverged by gap tokens.
 type window struct {
 	gap      float64
-	accounts string
+	pair     string
 	from, to time.Duration
 }
 
-// largestGap returns the largest difference over all windows in which both
-// accounts had work waiting throughout.
+// largestGap returns the window with the largest gap among those in which both accounts had requests
+// waiting throughout.
 func largestGap(a, b []judge.Point, wa, wb float64) window {
-	var most window
-	var low, high, d float64
+	var largest window
+	var low, high, diff float64
 	var lowAt, highAt time.Duration
-	inside := false
+	bothWaiting := false
 	var sa, sb judge.Point
 	for len(a) > 0 || len(b) > 0 {
 		if len(b) == 0 || len(a) > 0 && a[0].At <= b[0].At {
@@ -30,76 +29,76 @@
 			sb, b = b[0], b[1:]
 		}
 		if !sa.Waiting || !sb.Waiting {
-			inside = false
+			bothWaiting = false
 			continue
 		}
-		now := max(sa.At, sb.At)
-		d = sa.Tokens/wa - sb.Tokens/wb
-		if !inside || d < low {
-			low, lowAt = d, now
+		at := max(sa.At, sb.At)
+		diff = sa.Tokens/wa - sb.Tokens/wb
+		if !bothWaiting || diff < low {
+			low, lowAt = diff, at
 		}
-		if !inside || d > high {
-			high, highAt = d, now
+		if !bothWaiting || diff > high {
+			high, highAt = diff, at
 		}
-		inside = true
-		if high-low > most.gap {
-			most = window{gap: high - low, from: min(lowAt, highAt), to: max(lowAt, highAt)}
+		bothWaiting = true
+		if high-low > largest.gap {
+			largest = window{gap: high - low, from: min(lowAt, highAt), to: max(lowAt, highAt)}
 		}
 	}
-	return most
+	return largest
 }
 
-// fairness returns the largest gap over all pairs of accounts of one model.
+// fairness returns the window with the largest gap among all pairs of accounts of one model.
 func (s *Scenario) fairness(points map[string][]judge.Point) window {
-	var most window
+	var largest window
 	for i, a := range s.Accounts {
 		for _, b := range s.Accounts[i+1:] {
 			if a.Model == b.Model {
 				w := largestGap(points[a.Name], points[b.Name], a.Weight, b.Weight)
-				w.accounts = a.Name + " and " + b.Name
-				if w.gap > most.gap {
-					most = w
+				w.pair = a.Name + " and " + b.Name
+				if w.gap > largest.gap {
+					largest = w
 				}
 			}
 		}
 	}
-	return most
+	return largest
 }
 
-// backloggedShare is how much of the time an account must have had work
-// waiting to count as backlogged.
-const backloggedShare = 0.95
+// backloggedFraction is the fraction of time with requests waiting from which an account counts as
+// backlogged.
+const backloggedFraction = 0.95
 
-// minShare returns the least of service over weighted fair share among the
-// accounts of a model that were backlogged; 1 where there are fewer than two.
+// minShare returns the lowest ratio of service to weighted fair share among the backlogged accounts
+// of a model; at most 1.
 func (s *Scenario) minShare(points map[string][]judge.Point) float64 {
-	least := 1.0
+	lowest := 1.0
 	weights, service := map[string]float64{}, map[string]float64{}
 	var backlogged []Account
 	for _, a := range s.Accounts {
-		if waitingShare(points[a.Name]) >= backloggedShare {
+		if waitingFraction(points[a.Name]) >= backloggedFraction {
 			backlogged = append(backlogged, a)
 			weights[a.Model] += a.Weight
-			service[a.Model] += got(points[a.Name])
+			service[a.Model] += servedTokens(points[a.Name])
 		}
 	}
 	for _, a := range backlogged {
 		share := service[a.Model] * a.Weight / weights[a.Model]
 		if share > 0 {
-			least = min(least, got(points[a.Name])/share)
+			lowest = min(lowest, servedTokens(points[a.Name])/share)
 		}
 	}
-	return least
+	return lowest
 }
 
-func got(p []judge.Point) float64 {
+func servedTokens(p []judge.Point) float64 {
 	if len(p) == 0 {
 		return 0
 	}
 	return p[len(p)-1].Tokens - p[0].Tokens
 }
 
-func waitingShare(p []judge.Point) float64 {
+func waitingFraction(p []judge.Point) float64 {
 	if len(p) < 2 {
 		return 0
 	}
@@ -112,48 +111,48 @@
 	return waited.Seconds() / (p[len(p)-1].At - p[0].At).Seconds()
 }
 
-// bound is the documented bound on the fairness gap; docs/FAIRNESS.md derives
-// it. It counts, for the model where it is largest, what the slots of all
-// zones may be serving uncorrected, and what is served between two shares.
-func (s *Scenario) bound(largest int, exchange time.Duration) float64 {
-	worst := 0.0
-	for model, m := range s.modelSizes() {
-		least := 0.0
+// bound returns the bound on the fairness gap that docs/FAIRNESS.md derives, for the model where it
+// is largest. It adds up the requests in flight in all zones, which later decisions cannot correct,
+// and what is served between two exchanges of shares.
+func (s *Scenario) bound(maxTokens int, exchange time.Duration) float64 {
+	bound := 0.0
+	for model, m := range s.modelCapacities() {
+		lowest := 0.0
 		for _, a := range s.Accounts {
-			if a.Model == model && (least == 0 || a.Weight < least) {
-				least = a.Weight
+			if a.Model == model && (lowest == 0 || a.Weight < lowest) {
+				lowest = a.Weight
 			}
 		}
-		if least == 0 {
+		if lowest == 0 {
 			continue
 		}
-		inFlight := 2 * float64(largest) * float64(m.zones+1)
+		inFlight := 2 * float64(maxTokens) * float64(m.zones+1)
 		stale := 2 * m.rate * exchange.Seconds()
-		worst = max(worst, (inFlight+stale)/least)
+		bound = max(bound, (inFlight+stale)/lowest)
 	}
-	return worst
+	return bound
 }
 
-type modelSize struct {
+type modelCapacity struct {
 	rate  float64
 	zones int
 }
 
-func (s *Scenario) modelSizes() map[string]modelSize {
-	sizes := map[string]modelSize{}
+func (s *Scenario) modelCapacities() map[string]modelCapacity {
+	capacities := map[string]modelCapacity{}
 	for _, z := range s.Zones {
-		here := map[string]bool{}
+		seen := map[string]bool{}
 		for _, b := range z.Backends {
-			m := sizes[b.Model]
+			m := capacities[b.Model]
 			m.rate += float64(b.Slots) * b.TokensPerSecond
-			if !here[b.Model] {
+			if !seen[b.Model] {
 				m.zones++
 			}
-			here[b.Model] = true
-			sizes[b.Model] = m
+			seen[b.Model] = true
+			capacities[b.Model] = m
 		}
 	}
-	return sizes
+	return capacities
 }
 
 func percentile(ds []time.Duration, p float64) time.Duration {
--- a/internal/measure/faults.go
+++ b/internal/measure/faults.go
@@ -9,63 +9,65 @@
 	"github.com/yarrowmast/yarrowmast/pkg/table"
 )
 
-// versions records which table came into force where and when.
+// versions records when each router applied which revision of the table.
 type versions struct {
 	mu        sync.Mutex
 	highest   map[string]uint64
 	reverts   int
 	published map[uint64]time.Time
-	// slowest is the longest time from publishing to in force on a router
-	// that could hear of it all the while.
+	// slowest is the longest time from publishing a revision to applying it, on a router that was
+	// reachable throughout.
 	slowest time.Duration
-	// deaf is until when a router could last not hear of an edit.
-	deaf map[string]time.Time
+	// unreachableUntil is until when a fault keeps a router from receiving tables.
+	unreachableUntil map[string]time.Time
 }
 
 func newVersions() *versions {
-	return &versions{highest: map[string]uint64{}, published: map[uint64]time.Time{}, deaf: map[string]time.Time{}}
+	return &versions{highest: map[string]uint64{}, published: map[uint64]time.Time{}, unreachableUntil: map[string]time.Time{}}
 }
 
-// setDeaf notes that routers cannot hear of edits until the time given.
-func (v *versions) setDeaf(names []string, until time.Time) {
+// markUnreachable records that routers cannot receive tables until the given time.
+func (v *versions) markUnreachable(names []string, until time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, n := range names {
-		if until.After(v.deaf[n]) {
-			v.deaf[n] = until
+		if until.After(v.unreachableUntil[n]) {
+			v.unreachableUntil[n] = until
 		}
 	}
 }
 
-// versionsAt is the observer of one router.
-type versionsAt struct {
-	all  *versions
-	name string
+// routerVersions observes the tables of one router.
+type routerVersions struct {
+	versions *versions
+	name     string
 }
 
-func (v *versions) of(name string) *versionsAt { return &versionsAt{all: v, name: name} }
+func (v *versions) observer(name string) *routerVersions {
+	return &routerVersions{versions: v, name: name}
+}
 
 // TableInForce implements router.Observer.
-func (x *versionsAt) TableInForce(revision uint64) {
-	v := x.all
+func (x *routerVersions) TableInForce(revision uint64) {
+	v := x.versions
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if revision < v.highest[x.name] {
 		v.reverts++
 	}
 	v.highest[x.name] = max(v.highest[x.name], revision)
-	if at, ok := v.published[revision]; ok && v.deaf[x.name].Before(at) {
+	if at, ok := v.published[revision]; ok && v.unreachableUntil[x.name].Before(at) {
 		v.slowest = max(v.slowest, time.Since(at))
 	}
 }
 
-// followEvery is the interval at which is looked which table is in force.
-const followEvery = 5 * time.Millisecond
+// pollInterval is the interval at which poll reads the current table.
+const pollInterval = 5 * time.Millisecond
 
-// follow observes a router that tells nobody which table came into force.
-func (v *versions) follow(name string, d *dispatch.Dispatcher) {
-	at, last := v.of(name), uint64(0)
-	for ; !d.Closed(); time.Sleep(followEvery) {
+// poll observes the tables of a dispatcher, which has no observer for them.
+func (v *versions) poll(name string, d *dispatch.Dispatcher) {
+	at, last := v.observer(name), uint64(0)
+	for ; !d.Closed(); time.Sleep(pollInterval) {
 		if t := d.Table(); t != nil && t.Revision != last {
 			last = t.Revision
 			at.TableInForce(last)
@@ -80,17 +82,17 @@
 	v.published[c.publishTable()] = at
 }
 
-// state is which faults are in force now.
+// state holds the faults that are active now.
 type state struct {
-	mu     sync.Mutex
-	cut    map[string]bool
-	marked map[string]bool
-	flood  map[string]bool
-	away   map[string]bool
+	mu          sync.Mutex
+	partitioned map[string]bool
+	marked      map[string]bool
+	flood       map[string]bool
+	down        map[string]bool
 }
 
 func newState() *state {
-	return &state{cut: map[string]bool{}, marked: map[string]bool{}, flood: map[string]bool{}, away: map[string]bool{}}
+	return &state{partitioned: map[string]bool{}, marked: map[string]bool{}, flood: map[string]bool{}, down: map[string]bool{}}
 }
 
 func (s *state) set(m map[string]bool, key string, v bool) {
@@ -105,10 +107,10 @@
 	return m[key]
 }
 
-// floodFactor is how many times its share a flooding account sends.
+// floodFactor multiplies the request rate of an account during a flood.
 const floodFactor = 50
 
-// inject brings a fault about and mends it after its time.
+// inject starts a fault at its time and ends it after its duration.
 func (c *cluster) inject(f Fault, done <-chan struct{}) {
 	wait := func(d time.Duration) bool {
 		select {
@@ -121,18 +123,18 @@
 	if !wait(f.At) {
 		return
 	}
-	c.versions.setDeaf(c.affected(f), time.Now().Add(f.For))
-	mend := c.begin(f)
+	c.versions.markUnreachable(c.affected(f), time.Now().Add(f.For))
+	end := c.startFault(f)
 	wait(f.For)
-	mend()
+	end()
 }
 
-// affected returns the routers that a fault keeps from hearing of edits.
+// affected returns the routers that a fault keeps from receiving tables.
 func (c *cluster) affected(f Fault) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var names []string
-	for name, s := range c.fixed {
+	for name, s := range c.settingsByRouter {
 		platform := f.Kind == "platform_down" || f.Kind == "platform_stale"
 		zone := f.Kind == "partition" && s.Zone == f.Target
 		self := (f.Kind == "restart" || f.Kind == "pause") && name == f.Target
@@ -143,27 +145,27 @@
 	return names
 }
 
-func (c *cluster) begin(f Fault) (mend func()) {
+func (c *cluster) startFault(f Fault) (end func()) {
 	st := c.state
 	switch f.Kind {
 	case "partition":
 		set := func(on bool) {
-			st.set(st.cut, f.Target, on)
+			st.set(st.partitioned, f.Target, on)
 			c.fabric.SetPartitioned(f.Target, on)
-			c.judge.SetPartitioned(f.Target, on)
+			c.recorder.SetPartitioned(f.Target, on)
 		}
 		set(true)
 		return func() {
 			set(false)
-			c.closeMarked(f.Target)
+			c.drainMarked(f.Target)
 		}
 	case "restart":
-		st.set(st.away, f.Target, true)
-		zone := c.fixed[f.Target].Zone
-		c.stopNode(f.Target)
+		st.set(st.down, f.Target, true)
+		zone := c.settingsByRouter[f.Target].Zone
+		c.killNode(f.Target)
 		return func() {
 			_ = c.startNode(zone, f.Target)
-			st.set(st.away, f.Target, false)
+			st.set(st.down, f.Target, false)
 		}
 	case "pause":
 		return c.pause(f.Target)
@@ -174,42 +176,42 @@
 		c.platform.SetStale(true)
 		return func() { c.platform.SetStale(false) }
 	case "leave":
-		return c.mark(f.Target, table.Leaving)
+		return c.markBackend(f.Target, table.Leaving)
 	case "stop":
-		return c.mark(f.Target, table.Stopping)
+		return c.markBackend(f.Target, table.Stopping)
 	case "flood":
 		st.set(st.flood, f.Target, true)
 		return func() { st.set(st.flood, f.Target, false) }
 	default:
-		return c.edit(f.Target)
+		return c.editAccount(f.Target)
 	}
 }
 
-func (c *cluster) pause(name string) (mend func()) {
+func (c *cluster) pause(name string) (end func()) {
 	n := c.node(name)
 	if n == nil {
 		return func() {}
 	}
-	c.state.set(c.state.away, name, true)
+	c.state.set(c.state.down, name, true)
 	c.fabric.SetPaused(name, true)
-	thaw := freeze(n)
+	resume := pauseLoop(n)
 	return func() {
-		thaw()
+		resume()
 		c.fabric.SetPaused(name, false)
-		c.state.set(c.state.away, name, false)
+		c.state.set(c.state.down, name, false)
 	}
 }
 
-// freeze stops what decides in a router.
-func freeze(n *node.Node) (thaw func()) {
+// pauseLoop pauses the event loop of a router.
+func pauseLoop(n *node.Node) (resume func()) {
 	if n.Router != nil {
 		return n.Router.Freeze()
 	}
 	return n.Dispatch.PauseLoop()
 }
 
-// mark marks a backend server; the mark stays.
-func (c *cluster) mark(name string, m table.Mark) (mend func()) {
+// markBackend marks a backend server. The mark outlasts the fault.
+func (c *cluster) markBackend(name string, m table.Mark) (end func()) {
 	c.mu.Lock()
 	for i := range c.table.Backends {
 		if c.table.Backends[i].Name == name {
@@ -220,8 +222,8 @@
 	c.state.set(c.state.marked, name, true)
 	zone := c.zoneOfBackend(name)
 	c.versions.publish(c)
-	if !c.state.get(c.state.cut, zone) {
-		c.judge.MarkDraining(name)
+	if !c.state.get(c.state.partitioned, zone) {
+		c.recorder.MarkDraining(name)
 	}
 	return func() {}
 }
@@ -235,18 +237,17 @@
 	return ""
 }
 
-// closeMarked starts the judge's clock for marks that a zone could not hear
-// of while it was cut off.
-func (c *cluster) closeMarked(zone string) {
+// drainMarked records the marks that a zone could not receive during a partition.
+func (c *cluster) drainMarked(zone string) {
 	for _, b := range c.table.Backends {
 		if b.Zone == zone && c.state.get(c.state.marked, b.Name) {
-			c.judge.MarkDraining(b.Name)
+			c.recorder.MarkDraining(b.Name)
 		}
 	}
 }
 
-// edit changes an account's limit, which changes no decision.
-func (c *cluster) edit(name string) (mend func()) {
+// editAccount publishes a table with another queue limit of an account, which changes no decision.
+func (c *cluster) editAccount(name string) (end func()) {
 	for i := range c.table.Accounts {
 		if c.table.Accounts[i].Name == name {
 			c.table.Accounts[i].Limits.Queued++
@@ -256,10 +257,10 @@
 	return func() {}
 }
 
-// reachable reports whether two zones are joined now.
+// reachable reports whether no partition separates two zones.
 func (c *cluster) reachable(a, b string) bool {
-	return a == b || !c.state.get(c.state.cut, a) && !c.state.get(c.state.cut, b)
+	return a == b || !c.state.get(c.state.partitioned, a) && !c.state.get(c.state.partitioned, b)
 }
 
-// serving reports whether a backend server takes new work.
+// serving reports whether a backend server accepts new requests.
 func (c *cluster) serving(name string) bool { return !c.state.get(c.state.marked, name) }
--- a/internal/measure/load.go
+++ b/internal/measure/load.go
@@ -20,7 +20,7 @@
 	"github.com/yarrowmast/yarrowmast/standin/judge"
 )
 
-// outcome is how a caller's request ended, as the caller sees it.
+// outcome is the result of a request for its caller.
 type outcome int
 
 const (
@@ -30,37 +30,37 @@
 	unanswered
 )
 
-// tally counts what callers saw.
+// tally counts the outcomes of requests.
 type tally struct {
-	mu      sync.Mutex
-	ends    map[outcome]int
-	mixed   int
-	ranOff  int
-	ttft    []time.Duration
-	largest int
-	codes   map[string]int
-	byName  map[string]map[outcome]int
+	mu                  sync.Mutex
+	outcomes            map[outcome]int
+	mixed               int
+	ranAfterNotRunCount int
+	ttft                []time.Duration
+	maxTokens           int
+	codes               map[string]int
+	byAccount           map[string]map[outcome]int
 }
 
 func newTally() *tally {
-	return &tally{ends: map[outcome]int{}, codes: map[string]int{}, byName: map[string]map[outcome]int{}}
+	return &tally{outcomes: map[outcome]int{}, codes: map[string]int{}, byAccount: map[string]map[outcome]int{}}
 }
 
-// load is the callers of one run.
+// load runs the callers of one run.
 type load struct {
-	c       *cluster
-	tally   *tally
-	clients map[string]*http.Client
-	stop    chan struct{}
-	open    sync.WaitGroup
-	bodyPad string
+	cluster   *cluster
+	tally     *tally
+	clients   map[string]*http.Client
+	stop      chan struct{}
+	tasks     sync.WaitGroup
+	promptPad string
 }
 
-// grace is how long after the last request an answer may take.
-const grace = 30 * time.Second
+// responseGrace is how long after the scenario's duration a response may end.
+const responseGrace = 30 * time.Second
 
 func newLoad(c *cluster) *load {
-	l := &load{c: c, tally: newTally(), clients: map[string]*http.Client{}, stop: make(chan struct{}), bodyPad: strings.Repeat("word ", 80)}
+	l := &load{cluster: c, tally: newTally(), clients: map[string]*http.Client{}, stop: make(chan struct{}), promptPad: strings.Repeat("word ", 80)}
 	for _, z := range c.scenario.Zones {
 		l.clients[z.Name] = &http.Client{Transport: &http.Transport{
 			DialContext: c.fabric.Dialer(z.Name, "callers of "+z.Name).DialContext, MaxIdleConnsPerHost: 1000,
@@ -69,19 +69,19 @@
 	return l
 }
 
-// start starts the callers of every account.
+// start starts a generator for every account.
 func (l *load) start() {
-	for i, a := range l.c.scenario.Accounts {
-		rng := rand.New(rand.NewPCG(l.c.scenario.Seed, uint64(i)))
+	for i, a := range l.cluster.scenario.Accounts {
+		rng := rand.New(rand.NewPCG(l.cluster.scenario.Seed, uint64(i)))
 		g := &generator{load: l, account: a, rng: rng, routers: l.routers(a)}
-		l.open.Go(g.run)
+		l.tasks.Go(g.run)
 	}
 }
 
-// finish ends the callers and waits for their last answers.
+// finish stops the generators and waits for the last responses.
 func (l *load) finish() {
 	close(l.stop)
-	l.open.Wait()
+	l.tasks.Wait()
 	for _, c := range l.clients {
 		c.CloseIdleConnections()
 	}
@@ -98,7 +98,7 @@
 
 func (l *load) routers(a Account) []string {
 	var names []string
-	for _, z := range l.c.scenario.Zones {
+	for _, z := range l.cluster.scenario.Zones {
 		for i := range z.Routers {
 			names = append(names, routerName(z.Name, i))
 		}
@@ -109,7 +109,7 @@
 	return a.Routers
 }
 
-// generator is the callers of one account.
+// generator sends the requests of one account.
 type generator struct {
 	load    *load
 	account Account
@@ -117,7 +117,7 @@
 
 	mu   sync.Mutex
 	rng  *rand.Rand
-	next int
+	sent int
 }
 
 func (g *generator) run() {
@@ -129,23 +129,23 @@
 }
 
 func (g *generator) runBacklog() {
-	var all sync.WaitGroup
+	var tasks sync.WaitGroup
 	for range g.account.Backlog {
-		all.Go(func() {
+		tasks.Go(func() {
 			for !g.load.stopped() {
-				g.one()
+				g.sendOne()
 			}
 		})
 	}
-	all.Wait()
+	tasks.Wait()
 }
 
 func (g *generator) runRate() {
-	var all sync.WaitGroup
-	defer all.Wait()
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
 	for {
 		rate := g.account.Rate
-		if g.load.c.state.get(g.load.c.state.flood, g.account.Name) {
+		if g.load.cluster.state.get(g.load.cluster.state.flood, g.account.Name) {
 			rate *= floodFactor
 		}
 		g.mu.Lock()
@@ -156,43 +156,43 @@
 		case <-g.load.stop:
 			return
 		}
-		all.Go(g.one)
+		tasks.Go(g.sendOne)
 	}
 }
 
-// pick returns the next request's id, cost and router.
-func (g *generator) pick() (id string, tokens int, router string, prefix int) {
+// nextRequest returns the id, cost, router and prefix of the next request.
+func (g *generator) nextRequest() (id string, tokens int, router string, prefix int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.next++
+	g.sent++
 	if g.account.Prefixes > 0 {
 		prefix = 1 + g.rng.IntN(g.account.Prefixes)
 	}
-	return fmt.Sprintf("%s.%d", g.account.Name, g.next), g.account.Tokens.draw(g.rng), g.routers[g.next%len(g.routers)], prefix
+	return fmt.Sprintf("%s.%d", g.account.Name, g.sent), g.account.Tokens.draw(g.rng), g.routers[g.sent%len(g.routers)], prefix
 }
 
-// one sends one request to its end.
-func (g *generator) one() {
-	id, tokens, name, prefix := g.pick()
+// sendOne sends one request and records its outcome.
+func (g *generator) sendOne() {
+	id, tokens, name, prefix := g.nextRequest()
 	l := g.load
-	l.tally.sizes(tokens)
-	zone := l.c.zoneOf(name)
-	once := g.account.Repeatable != nil && !*g.account.Repeatable
-	l.c.judge.RequestSent(id, judge.Request{Account: g.account.Name, Model: g.account.Model, Zone: zone, NotRepeatable: once})
-	end, code := g.exchange(ask{
+	l.tally.recordTokens(tokens)
+	zone := l.cluster.zoneOf(name)
+	notRepeatable := g.account.Repeatable != nil && !*g.account.Repeatable
+	l.cluster.recorder.RequestSent(id, judge.Request{Account: g.account.Name, Model: g.account.Model, Zone: zone, NotRepeatable: notRepeatable})
+	result, code := g.doRequest(requestBody{
 		Model: g.account.Model, Stream: true, Prompt: l.prompt(g.account.Name, prefix), ID: id, Tokens: tokens, Prefix: prefix,
-	}, name, zone, once)
-	l.c.judge.RequestEnded(id)
-	l.tally.end(g.account.Name, end, code)
-	if end == refusedNotRun && l.c.judge.Runs(id) > 0 {
-		l.tally.ranAfterNotRun()
+	}, name, zone, notRepeatable)
+	l.cluster.recorder.RequestEnded(id)
+	l.tally.recordOutcome(g.account.Name, result, code)
+	if result == refusedNotRun && l.cluster.recorder.Runs(id) > 0 {
+		l.tally.recordRanAfterNotRun()
 	}
-	if end != answered {
+	if result != answered {
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-type ask struct {
+type requestBody struct {
 	Model  string `json:"model"`
 	Stream bool   `json:"stream"`
 	Prompt string `json:"prompt"`
@@ -201,23 +201,23 @@
 	Prefix int    `json:"load_prefix"`
 }
 
-// prompt returns a text whose beginning is the same for the same prefix.
+// prompt returns a prompt with the given prefix, or a short one for prefix 0.
 func (l *load) prompt(account string, prefix int) string {
 	if prefix == 0 {
 		return "short"
 	}
-	return fmt.Sprintf("%s %d %s", account, prefix, l.bodyPad)
+	return fmt.Sprintf("%s %d %s", account, prefix, l.promptPad)
 }
 
-func (g *generator) exchange(a ask, name, zone string, once bool) (outcome, string) {
+func (g *generator) doRequest(a requestBody, name, zone string, notRepeatable bool) (outcome, string) {
 	l := g.load
-	ctx, cancel := context.WithTimeout(context.Background(), l.c.scenario.Duration+grace)
+	ctx, cancel := context.WithTimeout(context.Background(), l.cluster.scenario.Duration+responseGrace)
 	defer cancel()
 	body, err := json.Marshal(a)
 	if err != nil {
 		return unanswered, "encode"
 	}
-	url := "http://" + l.c.callers(name) + front.PathCompletions
+	url := "http://" + l.cluster.callersAddr(name) + front.PathCompletions
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return unanswered, "request"
@@ -225,24 +225,24 @@
 	req.GetBody = nil
 	req.Header.Set("Authorization", "Bearer "+accountKey(g.account.Name))
 	req.Header.Set("Content-Type", "application/json")
-	if once {
+	if notRepeatable {
 		req.Header.Set(front.HeaderNotRepeatable, "true")
 	}
 	sent := time.Now()
 	resp, err := l.clients[zone].Do(req)
 	if err != nil {
-		return lostCaller(ctx, err)
+		return transportOutcome(ctx, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return refused(resp)
+		return errorOutcome(resp)
 	}
-	return g.readAnswer(ctx, resp, a.ID, sent)
+	return g.readStream(ctx, resp, a.ID, sent)
 }
 
-// lostCaller is the caller's own verdict where the router gave none: a dial
-// that failed sent nothing.
-func lostCaller(ctx context.Context, err error) (outcome, string) {
+// transportOutcome returns the outcome of a request without a response. Nothing was sent if the dial
+// failed.
+func transportOutcome(ctx context.Context, err error) (outcome, string) {
 	if ctx.Err() != nil {
 		return unanswered, "timeout"
 	}
@@ -253,7 +253,7 @@
 	return mayHaveRun, "router-broke"
 }
 
-func refused(resp *http.Response) (outcome, string) {
+func errorOutcome(resp *http.Response) (outcome, string) {
 	var p front.Problem
 	_ = json.NewDecoder(resp.Body).Decode(&p)
 	if resp.Header.Get(verdict.Header) == verdict.NotRun.String() {
@@ -262,14 +262,14 @@
 	return mayHaveRun, p.Code
 }
 
-func (g *generator) readAnswer(ctx context.Context, resp *http.Response, id string, sent time.Time) (outcome, string) {
-	mark := []byte(`"load_id":"` + id + `"`)
+func (g *generator) readStream(ctx context.Context, resp *http.Response, id string, sent time.Time) (outcome, string) {
+	idField := []byte(`"load_id":"` + id + `"`)
 	lines := bufio.NewReader(resp.Body)
-	first := true
+	awaitingFirst := true
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
-			return g.cutAnswer(ctx, err)
+			return g.brokenStreamOutcome(ctx, err)
 		}
 		data, ok := bytes.CutPrefix(line, []byte("data: "))
 		if !ok {
@@ -278,21 +278,21 @@
 			}
 			continue
 		}
-		if first {
-			g.load.tally.firstToken(time.Since(sent))
-			first = false
+		if awaitingFirst {
+			g.load.tally.recordFirstToken(time.Since(sent))
+			awaitingFirst = false
 		}
 		if bytes.HasPrefix(data, []byte("[DONE]")) {
 			_, _ = io.Copy(io.Discard, lines)
 			return answered, ""
 		}
-		if !bytes.Contains(data, mark) {
-			g.load.tally.mixedAnswer()
+		if !bytes.Contains(data, idField) {
+			g.load.tally.recordMixed()
 		}
 	}
 }
 
-func (g *generator) cutAnswer(ctx context.Context, err error) (outcome, string) {
+func (g *generator) brokenStreamOutcome(ctx context.Context, err error) (outcome, string) {
 	if ctx.Err() != nil {
 		return unanswered, "timeout"
 	}
@@ -303,47 +303,47 @@
 func (c *cluster) zoneOf(router string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.fixed[router].Zone
+	return c.settingsByRouter[router].Zone
 }
 
-func (c *cluster) callers(router string) string {
+func (c *cluster) callersAddr(router string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.fixed[router].Listen.Callers
+	return c.settingsByRouter[router].Listen.Callers
 }
 
-func (t *tally) sizes(tokens int) {
+func (t *tally) recordTokens(tokens int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.largest = max(t.largest, tokens)
+	t.maxTokens = max(t.maxTokens, tokens)
 }
 
-func (t *tally) end(account string, o outcome, code string) {
+func (t *tally) recordOutcome(account string, o outcome, code string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ends[o]++
+	t.outcomes[o]++
 	if code != "" {
 		t.codes[code]++
 	}
-	if t.byName[account] == nil {
-		t.byName[account] = map[outcome]int{}
+	if t.byAccount[account] == nil {
+		t.byAccount[account] = map[outcome]int{}
 	}
-	t.byName[account][o]++
+	t.byAccount[account][o]++
 }
 
-func (t *tally) ranAfterNotRun() {
+func (t *tally) recordRanAfterNotRun() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ranOff++
+	t.ranAfterNotRunCount++
 }
 
-func (t *tally) mixedAnswer() {
+func (t *tally) recordMixed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.mixed++
 }
 
-func (t *tally) firstToken(d time.Duration) {
+func (t *tally) recordFirstToken(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ttft = append(t.ttft, d)
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -10,14 +10,14 @@
 	"github.com/yarrowmast/yarrowmast/pkg/pool"
 )
 
-// variant is what a policy's name changes of the fleet.
+// variant holds the options by which a policy differs from the fleet's defaults.
 type variant struct {
 	pool []pool.Option
 	hold []hold.Option
 }
 
-// parsePolicy reads a policy's name: fleet, owners, local, central, or fleet followed
-// by changes such as /share=100ms, /report=250ms or /as-last-shared.
+// parsePolicy parses the name of a policy: fleet, owners, local, central, or fleet followed by changes
+// such as /share=100ms, /report=250ms or /as-last-shared.
 func parsePolicy(name string) (variant, error) {
 	parts := strings.Split(name, "/")
 	var v variant
@@ -28,24 +28,24 @@
 		if len(parts) == 1 && (parts[0] == PolicyLocal || parts[0] == PolicyCentral) {
 			return v, nil
 		}
-		return v, fmt.Errorf("policy %q is unknown; write fleet, owners, local, central, or fleet/ and a change", name)
+		return v, fmt.Errorf("policy %q is unknown; want fleet, owners, local, central, or fleet/ and a change", name)
 	}
 	for _, change := range parts[1:] {
-		if err := v.add(change); err != nil {
+		if err := v.apply(change); err != nil {
 			return v, fmt.Errorf("policy %q: %w", name, err)
 		}
 	}
 	return v, nil
 }
 
-// CheckPolicy returns an error if the name is no policy's.
+// CheckPolicy returns an error if name is not a valid policy.
 func CheckPolicy(name string) error {
 	_, err := parsePolicy(name)
 	return err
 }
 
-func (v *variant) add(change string) error {
-	key, value, timed := strings.Cut(change, "=")
+func (v *variant) apply(change string) error {
+	key, value, hasValue := strings.Cut(change, "=")
 	if change == "no-prefix" {
 		v.hold = append(v.hold, hold.WithPrefixes(false))
 		return nil
@@ -54,16 +54,16 @@
 		v.pool = append(v.pool, pool.WithRunOn(false))
 		return nil
 	}
-	if !timed {
+	if !hasValue {
 		v.pool = append(v.pool, pool.WithEstimator(pool.Estimator(change)))
 		if change != string(pool.AsLastShared) && change != string(pool.CountedByZones) {
-			return fmt.Errorf("%q is no estimator", change)
+			return fmt.Errorf("%q is not an estimator", change)
 		}
 		return nil
 	}
 	if key == "agree" {
-		part, err := strconv.ParseFloat(value, 64)
-		v.pool = append(v.pool, pool.WithAgree(part))
+		fraction, err := strconv.ParseFloat(value, 64)
+		v.pool = append(v.pool, pool.WithAgree(fraction))
 		return err
 	}
 	d, err := time.ParseDuration(value)
@@ -78,7 +78,7 @@
 	case "report":
 		v.hold = append(v.hold, hold.WithReportEvery(d))
 	default:
-		return fmt.Errorf("%q cannot be changed", key)
+		return fmt.Errorf("%q is not a setting", key)
 	}
 	return nil
 }
--- a/internal/measure/print.go
+++ b/internal/measure/print.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// PrintTable writes what each account got, for people.
+// PrintTable writes the results by account as a table.
 func (r *Report) PrintTable(w io.Writer) {
 	total := map[string]float64{}
 	for _, a := range r.Accounts {
@@ -26,7 +26,7 @@
 	_, _ = fmt.Fprintf(w, "largest fairness gap: %.0f tokens, %s\n", r.FairnessGap, r.GapDescription)
 }
 
-// PrintJSON writes the report on one line.
+// PrintJSON writes the report as one line of JSON.
 func (r *Report) PrintJSON(w io.Writer) error {
 	data, err := json.Marshal(r)
 	if err != nil {
--- a/internal/measure/run.go
+++ b/internal/measure/run.go
@@ -11,7 +11,7 @@
 	"github.com/yarrowmast/yarrowmast/pkg/pool"
 )
 
-// Report is the last line that a policy's run prints.
+// Report is the result of a run with one policy.
 type Report struct {
 	Policy              string         `json:"policy"`
 	Scenario            string         `json:"scenario"`
@@ -43,17 +43,17 @@
 	NewWorkAfterLeave   float64        `json:"new_work_after_leave_ms"`
 	CutStreams          int            `json:"cut_streams"`
 	Codes               map[string]int `json:"refusal_codes,omitempty"`
-	// PrefixHits is the share of prompts whose prefix the server held.
+	// PrefixHits is the fraction of prompts whose prefix the backend server had cached.
 	PrefixHits float64 `json:"prefix_hits"`
-	// Owners counts what the owners of pools did.
+	// Owners sums the statistics of the pool owners.
 	Owners pool.Stats `json:"owners"`
-	// GapDescription names the pair of accounts and the window of the gap.
+	// GapDescription is the pair of accounts and the window with the largest gap.
 	GapDescription string `json:"-"`
-	// Accounts is answers, refusals and tokens by account, for people.
+	// Accounts are the rows that PrintTable writes.
 	Accounts []AccountReport `json:"-"`
 }
 
-// AccountReport is one row of the table for people.
+// AccountReport is the result of one account.
 type AccountReport struct {
 	Name       string
 	Model      string
@@ -64,51 +64,51 @@
 	Tokens     float64
 }
 
-// Violations names the counts that should be 0 and are not.
+// Violations lists the counts that should be 0 and are not.
 func (r *Report) Violations() []string {
-	var broken []string
+	var violations []string
 	for name, n := range map[string]int{
 		"unanswered": r.Unanswered, "mixed_answers": r.MixedAnswers, "ran_after_not_run": r.RanAfterNotRun,
 		"run_twice": r.RunTwice, "table_reverts": r.TableReverts, "cut_streams": r.CutStreams,
 	} {
 		if n != 0 {
-			broken = append(broken, fmt.Sprintf("%s=%d", name, n))
+			violations = append(violations, fmt.Sprintf("%s=%d", name, n))
 		}
 	}
-	return broken
+	return violations
 }
 
-// warmUp is the time after the callers' start that is not measured.
+// warmUp is the time after the start of traffic that is not measured.
 const warmUp = 3 * time.Second
 
-// control is what routers spent on each other at a moment.
-type control struct {
+// controlUsage is what a router has spent on communication with others and on decisions.
+type controlUsage struct {
 	bytes, messages int64
 	busy            time.Duration
 }
 
-func (c *cluster) control() map[*node.Node]control {
-	all := map[*node.Node]control{}
-	c.each(func(_ string, n *node.Node) {
+func (c *cluster) controlUsage() map[*node.Node]controlUsage {
+	all := map[*node.Node]controlUsage{}
+	c.forEachNode(func(_ string, n *node.Node) {
 		p := n.Peers.Counters()
-		all[n] = control{
+		all[n] = controlUsage{
 			bytes:    p.BytesOut.Load() + p.BytesIn.Load(),
 			messages: p.MessagesOut.Load(),
-			busy:     busyOf(n) + time.Duration(p.CodecNanos.Load()),
+			busy:     decisionTime(n) + time.Duration(p.CodecNanos.Load()),
 		}
 	})
 	return all
 }
 
-// busyOf returns the time that a router has spent on decisions, 0 if it does not count it.
-func busyOf(n *node.Node) time.Duration {
+// decisionTime returns the time that a router has spent on decisions, 0 if it does not measure it.
+func decisionTime(n *node.Node) time.Duration {
 	if n.Router == nil {
 		return 0
 	}
 	return n.Router.Busy()
 }
 
-// Run runs one policy of a scenario. Progress is told of what happens.
+// Run runs a scenario with one policy. It calls progress with status messages.
 func Run(s *Scenario, policy string, progress func(string)) (*Report, error) {
 	c, err := startCluster(s, policy)
 	if err != nil {
@@ -119,110 +119,110 @@
 	l := newLoad(c)
 	l.start()
 	time.Sleep(warmUp)
-	c.judge.SetRecording(true)
-	before, calls := c.control(), c.platform.Calls()
+	c.recorder.SetRecording(true)
+	before, callsStart := c.controlUsage(), c.platform.Calls()
 	done := make(chan struct{})
 	var faults sync.WaitGroup
 	for _, f := range s.Faults {
 		faults.Go(func() { c.inject(f, done) })
 	}
-	tick(s.Duration, progress, l)
-	c.judge.SetRecording(false)
-	after, callsAfter := c.control(), c.platform.Calls()
+	reportProgress(s.Duration, progress, l)
+	c.recorder.SetRecording(false)
+	after, callsEnd := c.controlUsage(), c.platform.Calls()
 	close(done)
 	faults.Wait()
 	l.finish()
 	r := c.report(l)
 	r.Policy = policy
-	c.each(func(_ string, n *node.Node) {
+	c.forEachNode(func(_ string, n *node.Node) {
 		if n.Router != nil {
 			r.Owners.Add(n.Router.Status().Owner)
 		}
 	})
-	r.addControl(before, after, s.Duration, float64(callsAfter-calls))
+	r.addControl(before, after, s.Duration, float64(callsEnd-callsStart))
 	return r, nil
 }
 
-// tick waits for the scenario to pass, and tells how it goes.
-func tick(d time.Duration, progress func(string), l *load) {
+// reportProgress waits for the duration d and reports progress every second.
+func reportProgress(d time.Duration, progress func(string), l *load) {
 	const every = time.Second
 	var busyBefore, availableBefore float64
 	for passed := time.Duration(0); passed < d; passed += every {
 		time.Sleep(min(every, d-passed))
-		busy, available := l.c.judge.SlotSeconds()
+		busy, available := l.cluster.recorder.SlotSeconds()
 		l.tally.mu.Lock()
 		progress(fmt.Sprintf("%s: %d answered, %d refused as not run, %d in doubt, %.1f%% of slots busy while work waits", min(passed+every, d),
-			l.tally.ends[answered], l.tally.ends[refusedNotRun], l.tally.ends[mayHaveRun], 100*part(busy-busyBefore, available-availableBefore)))
+			l.tally.outcomes[answered], l.tally.outcomes[refusedNotRun], l.tally.outcomes[mayHaveRun], 100*ratio(busy-busyBefore, available-availableBefore)))
 		l.tally.mu.Unlock()
 		busyBefore, availableBefore = busy, available
 	}
 }
 
-// part is x of all, 1 where there is nothing to have a part of.
-func part(x, all float64) float64 {
-	if all == 0 {
+// ratio returns x/total, or 1 if total is 0.
+func ratio(x, total float64) float64 {
+	if total == 0 {
 		return 1
 	}
-	return x / all
+	return x / total
 }
 
 func (c *cluster) report(l *load) *Report {
-	s, t, f := c.scenario, l.tally, c.judge.Result()
+	s, t, f := c.scenario, l.tally, c.recorder.Result()
 	w := s.fairness(f.Points)
 	r := &Report{
-		GapDescription: fmt.Sprintf("%s, between %.1f s and %.1f s", w.accounts, w.from.Seconds(), w.to.Seconds()),
+		GapDescription: fmt.Sprintf("%s, between %.1f s and %.1f s", w.pair, w.from.Seconds(), w.to.Seconds()),
 		Scenario:       s.Name, Seed: s.Seed,
-		Answered: t.ends[answered], RefusedNotRun: t.ends[refusedNotRun], MayHaveRun: t.ends[mayHaveRun], Unanswered: t.ends[unanswered],
-		MixedAnswers: t.mixed, RanAfterNotRun: t.ranOff, RunTwice: f.RunTwice,
+		Answered: t.outcomes[answered], RefusedNotRun: t.outcomes[refusedNotRun], MayHaveRun: t.outcomes[mayHaveRun], Unanswered: t.outcomes[unanswered],
+		MixedAnswers: t.mixed, RanAfterNotRun: t.ranAfterNotRunCount, RunTwice: f.RunTwice,
 		FairnessGap: round(w.gap), MinShare: round(s.minShare(f.Points)),
-		FairnessBound: round(s.bound(t.largest, pool.DefaultShareEvery+hold.DefaultReportEvery)),
+		FairnessBound: round(s.bound(t.maxTokens, pool.DefaultShareEvery+hold.DefaultReportEvery)),
 		Utilisation:   round(f.Utilisation), IdleWhileWaiting: round(1 - f.Utilisation), Overload: round(f.Overload),
 		TTFTP50: ms(percentile(t.ttft, 0.5)), TTFTP95: ms(percentile(t.ttft, 0.95)),
 		EditInForce: ms(c.versions.slowest), TableReverts: c.versions.reverts,
 		NewWorkAfterLeave: ms(f.NewWorkAfterLeave), CutStreams: f.CutStreams, Codes: t.codes,
 	}
 	r.Requests = r.Answered + r.RefusedNotRun + r.MayHaveRun + r.Unanswered
-	if t.largest > 0 {
-		r.FairnessGapRequests = round(r.FairnessGap / float64(t.largest))
+	if t.maxTokens > 0 {
+		r.FairnessGapRequests = round(r.FairnessGap / float64(t.maxTokens))
 	}
-	hits, all := 0, 0
+	hits, lookups := 0, 0
 	for _, e := range c.engines {
 		h, m := e.CacheStats()
 		hits += h
-		all += h + m
+		lookups += h + m
 	}
-	r.PrefixHits = round(part(float64(hits), float64(all)))
+	r.PrefixHits = round(ratio(float64(hits), float64(lookups)))
 	for _, a := range s.Accounts {
-		by := t.byName[a.Name]
+		by := t.byAccount[a.Name]
 		r.Accounts = append(r.Accounts, AccountReport{
 			Name: a.Name, Model: a.Model, Weight: a.Weight, Answered: by[answered], Refused: by[refusedNotRun],
-			MayHaveRun: by[mayHaveRun] + by[unanswered], Tokens: got(f.Points[a.Name]),
+			MayHaveRun: by[mayHaveRun] + by[unanswered], Tokens: servedTokens(f.Points[a.Name]),
 		})
 	}
 	return r
 }
 
-func (r *Report) addControl(before, after map[*node.Node]control, d time.Duration, calls float64) {
-	var bytes, most, messages float64
+func (r *Report) addControl(before, after map[*node.Node]controlUsage, d time.Duration, calls float64) {
+	var bytes, largest, messages float64
 	var busy time.Duration
 	n := 0.0
-	for node, x := range after {
-		y, ok := before[node]
+	for node, end := range after {
+		start, ok := before[node]
 		if !ok {
 			continue
 		}
 		n++
-		b := float64(x.bytes-y.bytes) / d.Seconds()
+		b := float64(end.bytes-start.bytes) / d.Seconds()
 		bytes += b
-		most = max(most, b)
-		messages += float64(x.messages - y.messages)
-		busy += x.busy - y.busy
+		largest = max(largest, b)
+		messages += float64(end.messages - start.messages)
+		busy += end.busy - start.busy
 	}
 	if n == 0 {
 		return
 	}
 	r.ControlBytesMean = round(bytes / n)
-	r.ControlBytesMax = round(most)
+	r.ControlBytesMax = round(largest)
 	r.ControlPerRequest = round(messages / max(1, float64(r.Requests)))
 	r.ControlCPUShare = round(busy.Seconds() / n / d.Seconds())
 	r.PlatformCalls = round(calls / d.Seconds())
--- a/internal/measure/run_test.go
+++ b/internal/measure/run_test.go
@@ -7,7 +7,7 @@
 	"github.com/yarrowmast/yarrowmast/standin/judge"
 )
 
-const small = `
+const smallScenario = `
 seed: 3
 duration: 1s
 zones:
@@ -21,12 +21,12 @@
   - {at: 300ms, kind: edit, target: x}
 `
 
-// TestFleetKeepsItsPromises runs real routers over loopback under faults. It
-// asserts counts that must be 0 whatever the timing, and no time.
-func TestFleetKeepsItsPromises(t *testing.T) {
+// TestFleetUnderFaults guards against lost, mixed or repeated requests while routers pause and the
+// table changes.
+func TestFleetUnderFaults(t *testing.T) {
 	for _, policy := range []string{PolicyFleet, PolicyOwners} {
 		t.Run(policy, func(t *testing.T) {
-			s, err := Parse("small.yaml", []byte(small))
+			s, err := Parse("small.yaml", []byte(smallScenario))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -34,27 +34,27 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if broken := r.Violations(); len(broken) > 0 {
-				t.Errorf("broken: %v", broken)
+			if violations := r.Violations(); len(violations) > 0 {
+				t.Errorf("violations: %v", violations)
 			}
 			if r.Answered == 0 || r.Requests != r.Answered+r.RefusedNotRun+r.MayHaveRun {
-				t.Errorf("counts do not add up: %+v", r)
+				t.Errorf("request counts do not add up: %+v", r)
 			}
 		})
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejects(t *testing.T) {
 	for name, text := range map[string]string{
-		"unknown field":  "sed: 1\n" + small,
+		"unknown field":  "sed: 1\n" + smallScenario,
 		"no zones":       "seed: 1",
-		"unknown target": small + "  - {at: 1s, kind: pause, target: nope}\n",
-		"unknown kind":   small + "  - {at: 1s, kind: nope}\n",
-		"unknown policy": small + "policies: [nope]\n",
+		"unknown target": smallScenario + "  - {at: 1s, kind: pause, target: nope}\n",
+		"unknown kind":   smallScenario + "  - {at: 1s, kind: nope}\n",
+		"unknown policy": smallScenario + "policies: [nope]\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Parse("x.yaml", []byte(text)); err == nil {
-				t.Error("the scenario was taken")
+				t.Error("no error for an invalid scenario")
 			}
 		})
 	}
@@ -68,7 +68,7 @@
 		a, b []judge.Point
 		want float64
 	}{
-		"both served alike":     {[]judge.Point{at(0, 0, true), at(2, 10, true)}, []judge.Point{at(0, 0, true), at(2, 10, true)}, 10},
+		"equal service":         {[]judge.Point{at(0, 0, true), at(2, 10, true)}, []judge.Point{at(0, 0, true), at(2, 10, true)}, 10},
 		"one ahead":             {[]judge.Point{at(0, 0, true), at(1, 50, true), at(2, 90, true)}, []judge.Point{at(0, 0, true)}, 90},
 		"not while one idles":   {[]judge.Point{at(0, 0, true), at(2, 90, true)}, []judge.Point{at(0, 0, true), at(1, 0, false)}, 0},
 		"ahead and then behind": {[]judge.Point{at(0, 0, true), at(1, 40, true)}, []judge.Point{at(0, 0, true), at(2, 60, true)}, 60},
--- a/internal/measure/scenario.go
+++ b/internal/measure/scenario.go
@@ -1,5 +1,5 @@
-// Package measure runs real routers against stand-ins on loopback, with a
-// scenario's callers and faults, and prints what docs/MEASURES.md defines.
+// Package measure runs routers against stand-ins on loopback under the load and faults of a scenario,
+// and reports the measures that docs/MEASURES.md defines.
 package measure
 
 import (
@@ -12,15 +12,14 @@
 
 // Scenario is one experiment.
 type Scenario struct {
-	// Name is the file's name without its folder and ending.
+	// Name is the base name of the file without its extension.
 	Name string `yaml:"-"`
-	// Seed fixes arrivals and sizes.
+	// Seed determines arrival times and request sizes.
 	Seed uint64 `yaml:"seed"`
-	// Duration is how long callers send.
+	// Duration is the length of the measured period.
 	Duration time.Duration `yaml:"duration"`
-	// Zones are the availability zones.
-	Zones []Zone `yaml:"zones"`
-	// ZoneLatency is the delay between zones, one way.
+	Zones    []Zone        `yaml:"zones"`
+	// ZoneLatency is the one-way delay between zones.
 	ZoneLatency time.Duration `yaml:"zone_latency"`
 	Accounts    []Account     `yaml:"accounts"`
 	Faults      []Fault       `yaml:"faults"`
@@ -44,30 +43,29 @@
 	TokensPerSecond float64 `yaml:"tokens_per_second"`
 }
 
-// Account is one client account and its callers.
+// Account is one client account and its load.
 type Account struct {
 	Name     string  `yaml:"name"`
 	Weight   float64 `yaml:"weight"`
 	Priority int     `yaml:"priority"`
 	Model    string  `yaml:"model"`
-	// Routers are names, or "all".
+	// Routers are the names of the routers that receive its requests, or "all".
 	Routers RouterNames `yaml:"routers"`
-	// Rate is requests a second; Backlog is how many are kept open. One of
-	// the two is given.
+	// Rate is the number of requests per second, Backlog the number of requests kept open. Exactly
+	// one of the two is set.
 	Rate    float64 `yaml:"rate"`
 	Backlog int     `yaml:"backlog"`
 	Tokens  Tokens  `yaml:"tokens"`
-	// Prefixes is how many different beginnings its prompts have; 0 is one
-	// that is too short to be cached.
+	// Prefixes is the number of different prompt prefixes; 0 means prompts too short to cache.
 	Prefixes int `yaml:"prefixes"`
-	// Repeatable is true unless it says otherwise.
+	// Repeatable is true by default.
 	Repeatable *bool `yaml:"repeatable"`
 }
 
-// RouterNames is a list of routers; "all" stands for every one.
+// RouterNames is a list of routers. "all" stands for every router.
 type RouterNames []string
 
-// UnmarshalYAML takes a single name too.
+// UnmarshalYAML accepts a list or a single name.
 func (r *RouterNames) UnmarshalYAML(unmarshal func(any) error) error {
 	var one string
 	if err := unmarshal(&one); err == nil {
@@ -91,7 +89,7 @@
 	Max          float64 `yaml:"max"`
 }
 
-// Fault is something that goes wrong.
+// Fault is a fault or an edit of the table during the run.
 type Fault struct {
 	At  time.Duration `yaml:"at"`
 	For time.Duration `yaml:"for"`
@@ -110,7 +108,7 @@
 	return Parse(file, data)
 }
 
-// Parse reads and checks a scenario; its error lists everything wrong.
+// Parse parses and validates a scenario. Its error lists all problems.
 func Parse(file string, data []byte) (*Scenario, error) {
 	s := &Scenario{Name: baseName(file), Seed: 1, Duration: 15 * time.Second, ZoneLatency: 1500 * time.Microsecond}
 	d := strictyaml.Decode(file, data, s)
@@ -147,7 +145,7 @@
 func (s *Scenario) checkZones(d *strictyaml.Doc) (models, routers map[string]bool) {
 	models, routers = map[string]bool{}, map[string]bool{}
 	if len(s.Zones) == 0 {
-		d.Add("is empty; name at least one availability zone", "zones")
+		d.Add("must list at least one availability zone", "zones")
 	}
 	for i, z := range s.Zones {
 		if z.Routers < 1 {
@@ -176,17 +174,17 @@
 		d.Add(fmt.Sprintf("no backend server serves %q", a.Model), "accounts", i, "model")
 	}
 	if (a.Rate > 0) == (a.Backlog > 0) {
-		d.Add("give either rate or backlog, above 0", "accounts", i)
+		d.Add("set either rate or backlog, above 0", "accounts", i)
 	}
 	for _, r := range a.Routers {
 		if r != "all" && !routers[r] {
-			d.Add(fmt.Sprintf("there is no router %q; they are named zone-0, zone-1 and so on", r), "accounts", i, "routers")
+			d.Add(fmt.Sprintf("unknown router %q; routers are named zone-0, zone-1 and so on", r), "accounts", i, "routers")
 		}
 	}
 	switch a.Tokens.Distribution {
 	case "fixed", "uniform", "lognormal":
 	default:
-		d.Add("write fixed, uniform or lognormal", "accounts", i, "tokens", "distribution")
+		d.Add("must be fixed, uniform or lognormal", "accounts", i, "tokens", "distribution")
 	}
 	if a.Tokens.Max < 1 || a.Tokens.Min > a.Tokens.Max {
 		d.Add("needs min, median and max with 1 <= max and min <= max", "accounts", i, "tokens")
@@ -206,10 +204,10 @@
 		ok = s.hasAccount(f.Target)
 	case "platform_down", "platform_stale":
 	default:
-		d.Add(fmt.Sprintf("%q is unknown", f.Kind), "faults", i, "kind")
+		d.Add(fmt.Sprintf("unknown kind %q", f.Kind), "faults", i, "kind")
 	}
 	if !ok {
-		d.Add(fmt.Sprintf("%q is no target for %s", f.Target, f.Kind), "faults", i, "target")
+		d.Add(fmt.Sprintf("%q is not a valid target of %s", f.Target, f.Kind), "faults", i, "target")
 	}
 }
 
