--- a/internal/measure/load.go
+++ b/internal/measure/load.go
@@ -209,11 +209,11 @@
 	return fmt.Sprintf("%s %d %s", account, prefix, l.promptPad)
 }
 
-func (g *generator) doRequest(a requestBody, name, zone string, notRepeatable bool) (outcome, string) {
+func (g *generator) doRequest(payload requestBody, name, zone string, notRepeatable bool) (outcome, string) {
 	l := g.load
 	ctx, cancel := context.WithTimeout(context.Background(), l.cluster.scenario.Duration+responseGrace)
 	defer cancel()
-	body, err := json.Marshal(a)
+	body, err := json.Marshal(payload)
 	if err != nil {
 		return unanswered, "encode"
 	}
@@ -237,7 +237,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return errorOutcome(resp)
 	}
-	return g.readStream(ctx, resp, a.ID, sent)
+	return g.readStream(ctx, resp, payload.ID, sent)
 }
 
 // transportOutcome returns the outcome of a request without a response. Nothing was sent if the dial
--- a/test/soak/checker.go
+++ b/test/soak/checker.go
@@ -39,7 +39,8 @@
 	SentAt time.Duration
 	// Status is 0 if there was no response.
 	Status int
-	Body   string
+	// Body is the body to send until the response replaces it.
+	Body string
 	// Complete reports whether the body was read to its end without an error.
 	Complete bool
 	// RevokedKey reports whether the request carried the key that is revoked during the run.
@@ -75,10 +76,10 @@
 	violations []Violation
 }
 
-func (c *checker) add(a response) {
+func (c *checker) add(res response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.responses = append(c.responses, a)
+	c.responses = append(c.responses, res)
 }
 
 func (c *checker) report(rule, request, detail string) {
@@ -100,30 +101,30 @@
 		ran[r.ID]++
 	}
 	list := slices.Clone(c.violations)
-	for _, a := range c.responses {
-		list = append(list, c.checkResponse(a, ran[a.ID])...)
+	for _, res := range c.responses {
+		list = append(list, c.checkResponse(res, ran[res.ID])...)
 	}
 	slices.SortStableFunc(list, func(a, b Violation) int { return cmp.Compare(a.Rule, b.Rule) })
 	return list
 }
 
-func (c *checker) checkResponse(a response, ran int) []Violation {
+func (c *checker) checkResponse(res response, ran int) []Violation {
 	var list []Violation
 	add := func(rule, format string, args ...any) {
-		list = append(list, Violation{rule, a.ID, fmt.Sprintf(format, args...)})
+		list = append(list, Violation{rule, res.ID, fmt.Sprintf(format, args...)})
 	}
-	if !a.Kind.repeatable() && ran > 1 {
-		add(RuleRanTwice, "a %s request ran %d times", a.Kind, ran)
+	if !res.Kind.repeatable() && ran > 1 {
+		add(RuleRanTwice, "a %s request ran %d times", res.Kind, ran)
 	}
-	if guaranteesNotRun(a.Status) && ran > 0 {
-		add(RuleRefusedButRan, "status %d, but ran %d times", a.Status, ran)
+	if guaranteesNotRun(res.Status) && ran > 0 {
+		add(RuleRefusedButRan, "status %d, but ran %d times", res.Status, ran)
 	}
-	if a.Status == http.StatusOK {
-		if why := bodyError(a); why != "" {
+	if res.Status == http.StatusOK {
+		if why := bodyError(res); why != "" {
 			add(RuleWrongBody, "%s", why)
 		}
-		if a.RevokedKey && c.revokedAt > 0 && a.SentAt > c.revokedAt+propagationLimit {
-			add(RuleRevokedKey, "accepted %s after its key was revoked", a.SentAt-c.revokedAt)
+		if res.RevokedKey && c.revokedAt > 0 && res.SentAt > c.revokedAt+propagationLimit {
+			add(RuleRevokedKey, "accepted %s after its key was revoked", res.SentAt-c.revokedAt)
 		}
 	}
 	return list
@@ -138,22 +139,22 @@
 }
 
 // bodyError describes what is wrong with the body of a 200 response; "" if nothing is.
-func bodyError(a response) string {
-	if !a.Kind.isStream() {
-		if want := "answer to " + a.ID; a.Body != want && (a.Complete || !strings.HasPrefix(want, a.Body)) {
-			return fmt.Sprintf("unexpected body %q", a.Body)
+func bodyError(res response) string {
+	if !res.Kind.isStream() {
+		if want := "answer to " + res.ID; res.Body != want && (res.Complete || !strings.HasPrefix(want, res.Body)) {
+			return fmt.Sprintf("unexpected body %q", res.Body)
 		}
 		return ""
 	}
 	var want strings.Builder
 	for i := 1; i <= events; i++ {
-		want.WriteString(eventText(a.ID, i))
+		want.WriteString(eventText(res.ID, i))
 	}
 	switch {
-	case a.Complete && a.Body != want.String():
-		return fmt.Sprintf("stream ended without an error after %d of %d bytes", len(a.Body), want.Len())
-	case !strings.HasPrefix(want.String(), a.Body):
-		return fmt.Sprintf("stream has unexpected content in its first %d bytes", len(a.Body))
+	case res.Complete && res.Body != want.String():
+		return fmt.Sprintf("stream ended without an error after %d of %d bytes", len(res.Body), want.Len())
+	case !strings.HasPrefix(want.String(), res.Body):
+		return fmt.Sprintf("stream has unexpected content in its first %d bytes", len(res.Body))
 	default:
 		return ""
 	}
--- a/test/soak/crash.go
+++ b/test/soak/crash.go
@@ -28,8 +28,8 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	until, seen := time.Now().Add(s.Duration), int64(0)
 	for n := 0; time.Now().Before(until); n++ {
-		a := response{ID: fmt.Sprintf("deadly-%x-%d", t.seed, n), Kind: crashKinds[s.Target], Body: crashBody}
-		t.send(client, t.fleet.routers[n%len(t.fleet.routers)].proxy.address(), &a)
+		res := response{ID: fmt.Sprintf("deadly-%x-%d", t.seed, n), Kind: crashKinds[s.Target], Body: crashBody}
+		t.send(client, t.fleet.routers[n%len(t.fleet.routers)].proxy.address(), &res)
 		if crashes := t.fleet.crashes.Load(); crashes > seen {
 			seen = crashes
 			time.Sleep(restartDelay)
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -75,9 +75,9 @@
 	r.Log("%d workers crashed under a request", f.crashes.Load())
 	c.checkCrashes(f.crashes.Load(), newPlan(r.Seed, r.Duration, routers, workers))
 	rep.Violations = c.evaluate(f.runs())
-	for _, a := range c.responses {
+	for _, res := range c.responses {
 		rep.Requests++
-		rep.ByStatus[a.Status]++
+		rep.ByStatus[res.Status]++
 	}
 	if len(rep.Violations) == 0 {
 		_ = os.RemoveAll(dir)
@@ -313,13 +313,13 @@
 	for i, router := range t.fleet.routers {
 		for _, kind := range kinds {
 			for n := 0; ; n++ {
-				a := response{ID: fmt.Sprintf("%s-%d-%s-%d", when, i, kind, n), Kind: kind}
-				t.send(client, router.proxy.address(), &a)
-				if a.Status == http.StatusOK {
+				res := response{ID: fmt.Sprintf("%s-%d-%s-%d", when, i, kind, n), Kind: kind}
+				t.send(client, router.proxy.address(), &res)
+				if res.Status == http.StatusOK {
 					break
 				}
 				if time.Now().After(limit) {
-					return fmt.Errorf("soak: %s does not serve %s requests at the %s: status %d", router.name, kind, when, a.Status)
+					return fmt.Errorf("soak: %s did not serve %s requests at the %s: status %d", router.name, kind, when, res.Status)
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -64,9 +64,9 @@
 func TestChecker(t *testing.T) {
 	const revokedAt = 3 * time.Second
 	tests := map[string]struct {
-		answer response
-		ran    int
-		want   string
+		response response
+		ran      int
+		want     string
 	}{
 		"response":                     {response{Kind: Submit, Status: 200, Body: "answer to x", Complete: true}, 1, ""},
 		"stream":                       {response{Kind: PlainStream, Status: 200, Body: fullStream("x"), Complete: true}, 1, ""},
@@ -90,8 +90,8 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := &checker{revokedAt: revokedAt}
-			tc.answer.ID = "x"
-			c.add(tc.answer)
+			tc.response.ID = "x"
+			c.add(tc.response)
 			var runs []standin.Run
 			for range tc.ran {
 				runs = append(runs, standin.Run{ID: "x"})
--- a/test/soak/traffic.go
+++ b/test/soak/traffic.go
@@ -55,15 +55,15 @@
 	defer client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
 		r := t.fleet.routers[rng.IntN(len(t.fleet.routers))]
-		a := response{
+		res := response{
 			ID: fmt.Sprintf("%x-%x-%x", t.seed, number, n), Kind: kinds[rng.IntN(len(kinds))], SentAt: time.Since(t.start),
 			RevokedKey: rng.IntN(4) == 0,
 		}
 		// Submit requests need no key.
-		a.RevokedKey = a.RevokedKey && a.Kind != Submit
-		t.send(client, r.proxy.address(), &a)
-		t.plantFault(&a)
-		t.checker.add(a)
+		res.RevokedKey = res.RevokedKey && res.Kind != Submit
+		t.send(client, r.proxy.address(), &res)
+		t.plantFault(&res)
+		t.checker.add(res)
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration(rng.IntN(30)) * time.Millisecond):
@@ -71,22 +71,22 @@
 	}
 }
 
-// send sends one request and records the response in a.
-func (t *traffic) send(client *http.Client, address string, a *response) {
+// send sends one request and records the response in res.
+func (t *traffic) send(client *http.Client, address string, res *response) {
 	ctx, cancel := context.WithTimeout(context.Background(), deadline)
 	defer cancel()
 	secret := key
-	if a.RevokedKey {
+	if res.RevokedKey {
 		secret = revokedKey
 	}
 	// Not GET, which http.Client would retry.
-	req, err := standin.NewRequest(ctx, address, host, pathOf(a.Kind), a.ID, secret, deadline)
+	req, err := standin.NewRequest(ctx, address, host, pathOf(res.Kind), res.ID, secret, deadline)
 	if err != nil {
 		return
 	}
-	if a.Body != "" {
-		req.Body, req.ContentLength = io.NopCloser(strings.NewReader(a.Body)), int64(len(a.Body))
-		a.Body = ""
+	if res.Body != "" {
+		req.Body, req.ContentLength = io.NopCloser(strings.NewReader(res.Body)), int64(len(res.Body))
+		res.Body = ""
 	}
 	resp, err := client.Do(req)
 	if err != nil {
@@ -94,34 +94,34 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	a.Status, a.Body, a.Complete = resp.StatusCode, string(body), err == nil
+	res.Status, res.Body, res.Complete = resp.StatusCode, string(body), err == nil
 }
 
 func pathOf(k Kind) string { return "/" + string(k) + "/x" }
 
 // plantFault violates a rule on purpose, to show that the checker detects it.
-func (t *traffic) plantFault(a *response) {
+func (t *traffic) plantFault(res *response) {
 	switch t.plant {
 	case RuleWrongBody:
-		if a.Status == http.StatusOK && len(a.Body) > 0 {
-			a.Body = a.Body[1:]
+		if res.Status == http.StatusOK && len(res.Body) > 0 {
+			res.Body = res.Body[1:]
 		}
 	case RuleRefusedButRan:
-		if a.Status == http.StatusOK {
-			a.Status = http.StatusServiceUnavailable
+		if res.Status == http.StatusOK {
+			res.Status = http.StatusServiceUnavailable
 		}
 	case RuleRanTwice:
-		if a.Kind == Submit && a.Status == http.StatusOK {
-			again := *a
-			t.sendToWorker(&again)
+		if res.Kind == Submit && res.Status == http.StatusOK {
+			repeated := *res
+			t.sendToWorker(&repeated)
 		}
 	}
 }
 
 // sendToWorker sends a request to a worker directly, as a faulty router might.
-func (t *traffic) sendToWorker(a *response) {
+func (t *traffic) sendToWorker(res *response) {
 	address := t.fleet.workers[streamWorkers].Address()
-	req, err := standin.NewRequest(context.Background(), address, host, pathOf(a.Kind), a.ID, key, deadline)
+	req, err := standin.NewRequest(context.Background(), address, host, pathOf(res.Kind), res.ID, key, deadline)
 	if err != nil {
 		return
 	}
