--- /dev/null
+++ b/test/soak/checker.go
@@ -0,0 +1,166 @@
+package main
+
+import (
+	"cmp"
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/yarrowmast/yarrowmast/platform/standin"
+)
+
+// Kind is a kind of request. It is also the first segment of its path.
+type Kind string
+
+// The kinds of requests.
+const (
+	// ResumableStream is a stream that another worker may resume.
+	ResumableStream Kind = "read"
+	// PlainStream is a stream that cannot be resumed.
+	PlainStream Kind = "once"
+	// Submit may run at most once, Lookup any number of times.
+	Submit Kind = "submit"
+	Lookup Kind = "look"
+)
+
+// repeatable reports whether a request may run more than once.
+func (k Kind) repeatable() bool { return k == ResumableStream || k == Lookup }
+
+func (k Kind) isStream() bool { return k == ResumableStream || k == PlainStream }
+
+// response is what a caller observed of one request.
+type response struct {
+	ID   string
+	Kind Kind
+	// SentAt is the time since the start of traffic.
+	SentAt time.Duration
+	// Status is 0 if there was no response.
+	Status int
+	// Body is the body to send until the response replaces it.
+	Body string
+	// Complete reports whether the body was read to its end without an error.
+	Complete bool
+	// RevokedKey reports whether the request carried the key that is revoked during the run.
+	RevokedKey bool
+}
+
+// Violation is a guarantee that the fleet did not keep.
+type Violation struct {
+	Rule, Request, Detail string
+}
+
+func (b Violation) String() string {
+	return fmt.Sprintf("%s: request %s: %s", b.Rule, b.Request, b.Detail)
+}
+
+// The guarantees that are checked.
+const (
+	RuleRanTwice      = "twice"
+	RuleRefusedButRan = "refused-but-ran"
+	RuleWrongBody     = "mixed"
+	RuleRevokedKey    = "revoked-key"
+	RuleLeaving       = "leaving"
+	RuleRecovery      = "recover"
+	RuleCrashes       = "deadly"
+)
+
+// checker collects what callers and workers observed.
+type checker struct {
+	mu        sync.Mutex
+	responses []response
+	// revokedAt is when the key was revoked, from the start of traffic; 0 if it was not.
+	revokedAt  time.Duration
+	violations []Violation
+}
+
+func (c *checker) add(res response) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.responses = append(c.responses, res)
+}
+
+func (c *checker) report(rule, request, detail string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violations = append(c.violations, Violation{rule, request, detail})
+}
+
+// propagationLimit is how long routers may apply the previous version of the configuration. It
+// allows for routers that are paused or cannot reach the store.
+const propagationLimit = 8 * time.Second
+
+// evaluate returns all violations, given what the workers ran.
+func (c *checker) evaluate(runs []standin.Run) []Violation {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	ran := map[string]int{}
+	for _, r := range runs {
+		ran[r.ID]++
+	}
+	list := slices.Clone(c.violations)
+	for _, res := range c.responses {
+		list = append(list, c.checkResponse(res, ran[res.ID])...)
+	}
+	slices.SortStableFunc(list, func(a, b Violation) int { return cmp.Compare(a.Rule, b.Rule) })
+	return list
+}
+
+func (c *checker) checkResponse(res response, ran int) []Violation {
+	var list []Violation
+	add := func(rule, format string, args ...any) {
+		list = append(list, Violation{rule, res.ID, fmt.Sprintf(format, args...)})
+	}
+	if !res.Kind.repeatable() && ran > 1 {
+		add(RuleRanTwice, "a %s request ran %d times", res.Kind, ran)
+	}
+	if guaranteesNotRun(res.Status) && ran > 0 {
+		add(RuleRefusedButRan, "status %d, but ran %d times", res.Status, ran)
+	}
+	if res.Status == http.StatusOK {
+		if why := bodyError(res); why != "" {
+			add(RuleWrongBody, "%s", why)
+		}
+		if res.RevokedKey && c.revokedAt > 0 && res.SentAt > c.revokedAt+propagationLimit {
+			add(RuleRevokedKey, "accepted %s after its key was revoked", res.SentAt-c.revokedAt)
+		}
+	}
+	return list
+}
+
+// guaranteesNotRun reports whether a status guarantees that the request did not run and never
+// will.
+func guaranteesNotRun(status int) bool {
+	return slices.Contains([]int{
+		http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest,
+	}, status)
+}
+
+// bodyError describes what is wrong with the body of a 200 response; "" if nothing is.
+func bodyError(res response) string {
+	if !res.Kind.isStream() {
+		if want := "answer to " + res.ID; res.Body != want && (res.Complete || !strings.HasPrefix(want, res.Body)) {
+			return fmt.Sprintf("unexpected body %q", res.Body)
+		}
+		return ""
+	}
+	var want strings.Builder
+	for i := 1; i <= events; i++ {
+		want.WriteString(eventText(res.ID, i))
+	}
+	switch {
+	case res.Complete && res.Body != want.String():
+		return fmt.Sprintf("stream ended without an error after %d of %d bytes", len(res.Body), want.Len())
+	case !strings.HasPrefix(want.String(), res.Body):
+		return fmt.Sprintf("stream has unexpected content in its first %d bytes", len(res.Body))
+	default:
+		return ""
+	}
+}
+
+// eventText returns an event of a stream as the stand-in workers write it.
+func eventText(id string, number int) string {
+	return fmt.Sprintf("id: %d\ndata: %s %d\n\n", number, id, number)
+}
--- a/test/soak/traffic.go
+++ b/test/soak/traffic.go
@@ -17,53 +17,53 @@
 const (
 	host       = "forms.example"
 	key        = "secret-1"
-	keyRevoked = "secret-2"
-	// callers is how many callers send requests, one after the other.
+	revokedKey = "secret-2"
+	// callers is the number of callers. Each sends one request at a time.
 	callers = 24
-	// deadline is how long a caller waits.
+	// deadline is how long a caller waits for a response.
 	deadline = 3 * time.Second
 )
 
-var kinds = []Kind{Read, Once, Submit, Look}
+var kinds = []Kind{ResumableStream, PlainStream, Submit, Lookup}
 
-// traffic is the callers of one run.
+// traffic runs the callers of one run.
 type traffic struct {
-	fleet *fleet
-	judge *judge
-	seed  uint64
-	start time.Time
-	plant string
+	fleet   *fleet
+	checker *checker
+	seed    uint64
+	start   time.Time
+	plant   string
 }
 
-// run has the callers send requests until ctx is done.
+// run sends requests from all callers until ctx is done.
 func (t *traffic) run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	for i := range callers {
 		tasks.Add(1)
 		go func() {
 			defer tasks.Done()
-			t.caller(ctx, i)
+			t.runCaller(ctx, i)
 		}()
 	}
 	tasks.Wait()
 }
 
-// caller keeps its connections until they end.
-func (t *traffic) caller(ctx context.Context, number int) {
+// runCaller sends requests one after the other, and reuses its connections.
+func (t *traffic) runCaller(ctx context.Context, number int) {
 	rng := rand.New(rand.NewPCG(t.seed, uint64(number)+1))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	defer client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
 		r := t.fleet.routers[rng.IntN(len(t.fleet.routers))]
-		a := answer{
-			ID: fmt.Sprintf("%x-%x-%x", t.seed, number, n), Kind: kinds[rng.IntN(len(kinds))], Sent: time.Since(t.start),
-			Revoked: rng.IntN(4) == 0,
+		res := response{
+			ID: fmt.Sprintf("%x-%x-%x", t.seed, number, n), Kind: kinds[rng.IntN(len(kinds))], SentAt: time.Since(t.start),
+			RevokedKey: rng.IntN(4) == 0,
 		}
-		// Who sends submit requests needs no key.
-		a.Revoked = a.Revoked && a.Kind != Submit
-		t.ask(client, r.front.address(), &a)
-		t.spoil(&a)
-		t.judge.add(a)
+		// Submit requests need no key.
+		res.RevokedKey = res.RevokedKey && res.Kind != Submit
+		t.send(client, r.proxy.address(), &res)
+		t.plantFault(&res)
+		t.checker.add(res)
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration(rng.IntN(30)) * time.Millisecond):
@@ -71,22 +71,22 @@
 	}
 }
 
-// ask sends one request and notes what came back.
-func (t *traffic) ask(client *http.Client, address string, a *answer) {
+// send sends one request and records the response in res.
+func (t *traffic) send(client *http.Client, address string, res *response) {
 	ctx, cancel := context.WithTimeout(context.Background(), deadline)
 	defer cancel()
-	with := key
-	if a.Revoked {
-		with = keyRevoked
+	secret := key
+	if res.RevokedKey {
+		secret = revokedKey
 	}
-	// Never GET, which the client would send again by itself.
-	req, err := standin.NewRequest(ctx, address, host, pathOf(a.Kind), a.ID, with, deadline)
+	// Not GET, which http.Client would retry.
+	req, err := standin.NewRequest(ctx, address, host, pathOf(res.Kind), res.ID, secret, deadline)
 	if err != nil {
 		return
 	}
-	if a.Body != "" {
-		req.Body, req.ContentLength = io.NopCloser(strings.NewReader(a.Body)), int64(len(a.Body))
-		a.Body = ""
+	if res.Body != "" {
+		req.Body, req.ContentLength = io.NopCloser(strings.NewReader(res.Body)), int64(len(res.Body))
+		res.Body = ""
 	}
 	resp, err := client.Do(req)
 	if err != nil {
@@ -94,35 +94,34 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	a.Status, a.Body, a.Whole = resp.StatusCode, string(body), err == nil
+	res.Status, res.Body, res.Complete = resp.StatusCode, string(body), err == nil
 }
 
 func pathOf(k Kind) string { return "/" + string(k) + "/x" }
 
-// spoil plants a fault, to show that the judge sees it.
-func (t *traffic) spoil(a *answer) {
+// plantFault violates a rule on purpose, to show that the checker detects it.
+func (t *traffic) plantFault(res *response) {
 	switch t.plant {
-	case RuleMixed:
-		if a.Status == http.StatusOK && len(a.Body) > 0 {
-			a.Body = a.Body[1:]
+	case RuleWrongBody:
+		if res.Status == http.StatusOK && len(res.Body) > 0 {
+			res.Body = res.Body[1:]
 		}
-	case RuleRefused:
-		if a.Status == http.StatusOK {
-			a.Status = http.StatusServiceUnavailable
+	case RuleRefusedButRan:
+		if res.Status == http.StatusOK {
+			res.Status = http.StatusServiceUnavailable
 		}
-	case RuleTwice:
-		if a.Kind == Submit && a.Status == http.StatusOK {
-			again := *a
-			t.plantAgain(&again)
+	case RuleRanTwice:
+		if res.Kind == Submit && res.Status == http.StatusOK {
+			repeated := *res
+			t.sendToWorker(&repeated)
 		}
 	}
 }
 
-// plantAgain sends a request straight to a worker once more, as a faulty router
-// would.
-func (t *traffic) plantAgain(a *answer) {
-	address := t.fleet.workers[engines].Address()
-	req, err := standin.NewRequest(context.Background(), address, host, pathOf(a.Kind), a.ID, key, deadline)
+// sendToWorker sends a request to a worker directly, as a faulty router might.
+func (t *traffic) sendToWorker(res *response) {
+	address := t.fleet.workers[streamWorkers].Address()
+	req, err := standin.NewRequest(context.Background(), address, host, pathOf(res.Kind), res.ID, key, deadline)
 	if err != nil {
 		return
 	}
