--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -167,8 +167,8 @@
 }
 
 func (e retryEvent) apply(s *state) {
-	routers := s.roster.CountRecent(s.now, s.retryRule.Window)
-	e.result <- s.allowance.Spend(s.now, e.service, routers)
+	routers := s.roster.CountRecent(s.now, s.retryConfig.Window)
+	e.result <- s.retryBudget.Spend(s.now, e.service, routers)
 }
 
 type arriveEvent struct{ *attempt }
@@ -183,7 +183,7 @@
 	}
 	r := &e.request
 	if r.Attempt == 0 {
-		s.allowance.CountRequest(s.now, r.Model)
+		s.retryBudget.CountRequest(s.now, r.Model)
 	}
 	s.step(admit.Arrive{Request: admit.Request{
 		ID: id, Service: r.Model, Account: r.Account, AccountRank: r.AccountRank, Rank: r.Rank, Prefix: r.Prefix,
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -44,7 +44,7 @@
 // router is a home of some keys and claims the keys of its callers. Homes are computed from the
 // platform's router list, which ignores liveness, so that an unavailable home keeps its role.
 type idempotencyKeys struct {
-	homes *once.KeyStore
+	store *once.KeyStore
 	// routersByZone holds the sorted router addresses of each zone by the platform's list.
 	routersByZone map[string][]string
 	pending       map[uint64]*pendingClaim
@@ -65,7 +65,7 @@
 
 func newIdempotencyKeys(self string, now time.Duration, at time.Time) *idempotencyKeys {
 	offset := time.Duration(at.UnixNano()) - now
-	return &idempotencyKeys{homes: once.New(self, now+offset), routersByZone: map[string][]string{}, pending: map[uint64]*pendingClaim{}, wallOffset: offset}
+	return &idempotencyKeys{store: once.New(self, now+offset), routersByZone: map[string][]string{}, pending: map[uint64]*pendingClaim{}, wallOffset: offset}
 }
 
 func scopedKey(c front.Claim) string { return c.Account + "\x00" + c.Key }
@@ -150,15 +150,15 @@
 	for _, addresses := range k.routersByZone {
 		slices.Sort(addresses)
 	}
-	k.homes.SetRouters(now+k.wallOffset, k.routersByZone[zone])
+	k.store.SetRouters(now+k.wallOffset, k.routersByZone[zone])
 }
 
 func (s *state) handleClaimMessage(from string, msg any) {
 	switch m := msg.(type) {
 	case *wire.Claim:
-		s.sendOrHandle(from, s.keys.homes.Claim(s.now+s.keys.wallOffset, m))
+		s.sendOrHandle(from, s.keys.store.Claim(s.now+s.keys.wallOffset, m))
 	case *wire.ClaimRelease:
-		s.keys.homes.Release(m)
+		s.keys.store.Release(m)
 	case *wire.ClaimReply:
 		s.handleClaimReply(from, m)
 	}
@@ -200,7 +200,7 @@
 
 // expireClaims ends claims that timed out and forgets expired keys.
 func (s *state) expireClaims() {
-	s.keys.homes.Tick(s.now + s.keys.wallOffset)
+	s.keys.store.Tick(s.now + s.keys.wallOffset)
 	for _, seq := range slices.Sorted(maps.Keys(s.keys.pending)) {
 		cl := s.keys.pending[seq]
 		if s.now >= cl.deadline {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -117,7 +117,7 @@
 type options struct {
 	log         *slog.Logger
 	seeds       []string
-	retryRule   allowance.Config
+	retryConfig allowance.Config
 	applyWithin time.Duration
 	// random returns numbers in [0, 1).
 	random func() float64
@@ -157,7 +157,7 @@
 func WithSeeds(seeds []string) Option { return func(o *options) { o.seeds = seeds } }
 
 // WithRetryBudget sets the fleet's retry budget.
-func WithRetryBudget(r allowance.Config) Option { return func(o *options) { o.retryRule = r } }
+func WithRetryBudget(r allowance.Config) Option { return func(o *options) { o.retryConfig = r } }
 
 // WithApplyWithin sets the time within which every reachable router must apply a change at the
 // platform.
@@ -187,7 +187,7 @@
 	d := &Dispatcher{
 		id: id, source: source, transport: n, steadyStart: time.Now(),
 		opt: options{
-			log: slog.Default(), retryRule: allowance.DefaultConfig(), applyWithin: DefaultApplyWithin, random: rand.Float64, clock: clock.System(), wallClock: time.Now,
+			log: slog.Default(), retryConfig: allowance.DefaultConfig(), applyWithin: DefaultApplyWithin, random: rand.Float64, clock: clock.System(), wallClock: time.Now,
 		},
 		events: make(chan event, inboxSize), ctx: ctx, cancel: cancel, admission: newAdmission(),
 	}
@@ -203,14 +203,14 @@
 // be applied.
 func (d *Dispatcher) Reconfigure(r allowance.Config, applyWithin time.Duration) {
 	d.shared.applyWithin.Store(int64(applyWithin))
-	d.post(setRetryRuleEvent{r})
+	d.post(setRetryConfigEvent{r})
 }
 
-type setRetryRuleEvent struct{ allowance.Config }
+type setRetryConfigEvent struct{ allowance.Config }
 
-func (e setRetryRuleEvent) apply(s *state) {
-	s.retryRule = e.Config
-	s.allowance.Reconfigure(e.Config)
+func (e setRetryConfigEvent) apply(s *state) {
+	s.retryConfig = e.Config
+	s.retryBudget.Reconfigure(e.Config)
 }
 
 // Start starts the goroutines.
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -18,16 +18,16 @@
 	now         time.Duration
 	lastEventAt time.Duration
 	// suspended is the total time that the machine had been suspended by lastEventAt.
-	suspended time.Duration
-	core      *admit.Core
-	catalog   *catalog.Catalog
-	roster    *roster.Roster
-	allowance *allowance.Budget
-	retryRule allowance.Config
-	peerLinks map[string]*link
-	estimator *admit.CapacityEstimator
-	nextID    uint64
-	waiting   map[uint64]*attempt
+	suspended   time.Duration
+	core        *admit.Core
+	catalog     *catalog.Catalog
+	roster      *roster.Roster
+	retryBudget *allowance.Budget
+	retryConfig allowance.Config
+	peerLinks   map[string]*link
+	estimator   *admit.CapacityEstimator
+	nextID      uint64
+	waiting     map[uint64]*attempt
 	// Times of the last reports to other routers, roster gossip, update request, status,
 	// admission plan, log line of shares, and overload.
 	reportedAt, gossipedAt, updateRequestedAt, statusAt, admissionAt, sharesLoggedAt, overloadedAt time.Duration
@@ -92,8 +92,8 @@
 		d: d, now: now, lastEventAt: now, suspended: d.opt.clock.Suspended(),
 		core:           admit.New(admit.Router{Address: d.id.Address, Zone: d.id.Zone, Capacity: d.id.Capacity}, append(d.opt.coreOptions, admit.WithSeed(d.id.Incarnation))...),
 		roster:         roster.New(self, d.opt.seeds),
-		allowance:      allowance.New(d.opt.retryRule, now),
-		retryRule:      d.opt.retryRule,
+		retryBudget:    allowance.New(d.opt.retryConfig, now),
+		retryConfig:    d.opt.retryConfig,
 		peerLinks:      map[string]*link{},
 		keys:           newIdempotencyKeys(d.id.Address, now, d.opt.wallClock()),
 		tokenCounts:    map[uint64]*atomic.Int64{},
@@ -134,7 +134,7 @@
 func (s *state) recordPause(from time.Duration) {
 	s.roster.RecordPause(from, s.now)
 	if s.now-from >= maxVouchPause {
-		s.keys.homes.RecordPause(s.now + s.keys.wallOffset)
+		s.keys.store.RecordPause(s.now + s.keys.wallOffset)
 	}
 }
 
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -134,7 +134,7 @@
 }
 
 // finishClaim replies to a claim. A claim that was not granted is released, so
-// that the client's next attempt can succeed.
+// that the caller's next attempt can succeed.
 func (c *core) finishClaim(cl *pendingClaim, state wire.ClaimState) {
 	delete(c.claims, cl.msg.Seq)
 	if state != wire.ClaimGranted {
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -416,7 +416,7 @@
 	}
 }
 
-// request sends a client's request to a router.
+// request sends a caller's request to a router.
 func (w *world) request(id, router, account, model, key string, tokens int64, wait time.Duration) {
 	r := w.routers[router]
 	a := &simRequest{id: id, router: router, key: key, tokens: tokens, inc: r.inc,
--- a/pkg/hold/event.go
+++ b/pkg/hold/event.go
@@ -10,7 +10,7 @@
 // Event is an input of Holder.Step.
 type Event interface{ apply(h *Holder) }
 
-// Arrive is an admitted request of a client.
+// Arrive is an admitted request of a caller.
 type Arrive struct {
 	// ID is unique among the requests of this router.
 	ID      uint64
@@ -26,7 +26,7 @@
 	Prefix uint32
 }
 
-// Cancel removes a waiting request whose client disconnected.
+// Cancel removes a waiting request whose caller disconnected.
 type Cancel struct{ ID uint64 }
 
 // Finished ends a started request and releases its lease.
--- a/pkg/hold/queue.go
+++ b/pkg/hold/queue.go
@@ -9,7 +9,7 @@
 // still go first. Because it is finite, no request starves.
 const priorityLead = 2 * time.Second
 
-// request is a client's request at this router.
+// request is a caller's request at this router.
 type request struct {
 	Arrive
 	// arrived is the time of the first arrival, before any retry.
--- a/pkg/once/keystore.go
+++ b/pkg/once/keystore.go
@@ -22,7 +22,7 @@
 	DefaultRetention = 10 * time.Minute
 	// DefaultMaxKeys is the maximum number of keys that one home remembers.
 	DefaultMaxKeys = 200_000
-	// DefaultSkew is the maximum difference between the clocks of clients and
+	// DefaultSkew is the maximum difference between the clocks of callers and
 	// homes, and the maximum time for which routers may disagree on the zone's
 	// list of routers.
 	DefaultSkew = 5 * time.Second
--- a/pkg/table/route.go
+++ b/pkg/table/route.go
@@ -34,7 +34,7 @@
 type Route struct {
 	// Name is unique in the table and not empty.
 	Name string `yaml:"name" json:"name"`
-	// Host is the host name that clients use, without a port.
+	// Host is the host name that callers use, without a port.
 	Host string `yaml:"host" json:"host"`
 	// Prefix is the path prefix; it begins and ends with a slash.
 	Prefix string `yaml:"prefix" json:"prefix"`
@@ -111,14 +111,14 @@
 	CacheTokens int64 `yaml:"cache_tokens" json:"cache_tokens"`
 }
 
-// Bounds limit what clients may send, in addition to the router's settings. Zero
+// Bounds limit what callers may send, in addition to the router's settings. Zero
 // means not stated.
 type Bounds struct {
 	// HeaderBytes is the largest request header.
 	HeaderBytes int `yaml:"header_bytes" json:"header_bytes"`
 	// BodyBytes is the largest request body.
 	BodyBytes int64 `yaml:"body_bytes" json:"body_bytes"`
-	// HeaderTime is how long a client may take to send a header.
+	// HeaderTime is how long a caller may take to send a header.
 	HeaderTime time.Duration `yaml:"header_time" json:"header_time"`
 	// IdleTime is how long a connection may be idle between requests.
 	IdleTime time.Duration `yaml:"idle_time" json:"idle_time"`
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -105,7 +105,7 @@
 	Services []ServiceRow `yaml:"services" json:"services"`
 	// Zones lists the availability zones that operators have marked.
 	Zones []ZoneRow `yaml:"zones" json:"zones,omitempty"`
-	// Bounds limit what clients may send.
+	// Bounds limit what callers may send.
 	Bounds Bounds `yaml:"bounds" json:"bounds"`
 
 	accounts map[string]int
--- a/pkg/wire/wire.go
+++ b/pkg/wire/wire.go
@@ -352,11 +352,11 @@
 type Claim struct {
 	// Seq is echoed in the reply.
 	Seq uint64
-	// Key is the account's name, a zero byte, and the client's key.
+	// Key is the account's name, a zero byte, and the caller's key.
 	Key string
 	// Request is the claiming request's id.
 	Request string
-	// At is the time at which the client first used the key, in Unix milliseconds;
+	// At is the time at which the caller first used the key, in Unix milliseconds;
 	// 0 if unknown.
 	At int64
 }
