--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -44,10 +44,10 @@
 	Priority  int
 	// Account is the name of the client account.
 	Account string
-	// Instance is the expected instance of the backend server, "" for any.
+	// Instance is the name of the expected incarnation of the backend server, "" for any.
 	Instance string
-	// StartTime is the instance's start time, 0 if unknown. It tells apart instances
-	// with the same name.
+	// StartTime is the start time of the incarnation, 0 if unknown. It distinguishes
+	// incarnations with the same name.
 	StartTime int64
 	// MaxConnections is this router's share of the connections that the backend server
 	// accepts. Beyond it, idle connections are closed; 0 means no limit.
--- a/internal/backend/headers.go
+++ b/internal/backend/headers.go
@@ -27,8 +27,8 @@
 	NotRun string
 	// Deadline holds the remaining time in milliseconds.
 	Deadline string
-	// Instance names the expected instance of the backend server. Any other instance
-	// refuses the request with status 421.
+	// Instance holds the name of the expected incarnation of the backend server. Any
+	// other one refuses the request with status 421.
 	Instance string
 	// Account holds the name of the client account.
 	Account string
--- a/internal/backend/notice.go
+++ b/internal/backend/notice.go
@@ -18,14 +18,15 @@
 type Notice struct {
 	// Leaving means that it is about to stop and accepts no new requests.
 	Leaving bool
-	// RetryAfter is how long it requests no requests from this router, 0 if it does not.
+	// RetryAfter is how long it wants no requests from this router, 0 if it asked for no
+	// pause.
 	RetryAfter time.Duration
 	// Invalid is a header value that could not be parsed, "" if there is none.
 	Invalid string
 }
 
 // notice reads the notice in the response headers. A response with status 421 comes from
-// another instance at the same address and says nothing about the expected one.
+// another incarnation at the same address and says nothing about the expected one.
 func (c *HeaderConfig) notice(resp *http.Response, now time.Time) Notice {
 	if resp.StatusCode == http.StatusMisdirectedRequest && c.Instance != "" {
 		return Notice{}
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -229,7 +229,7 @@
 		s.sendReport(to, t, wire.ScopeOwn, t.Copies())
 	}
 	// Every relay of a zone receives the reports of its routers, so only the primary relay
-	// passes the sums on.
+	// sends their sums to others.
 	served, servedCopies := wire.ScopeNone, t.Copies()
 	remote, zoneCopies := wire.ScopeNone, t.Copies()
 	if s.peerPlan.Primary {
