--- a/internal/dispatch/acquire.go
+++ b/internal/dispatch/acquire.go
@@ -70,7 +70,7 @@
 		TokensAhead: dec.start.TokensAhead, ExpectedFirstEvent: dec.start.ExpectedFirstEvent, Running: dec.start.Running,
 		Served: dec.tokens, Waited: r.Waited + dec.waited,
 		OnFirstEvent: func() { d.post(firstOutputEvent{dec.id}) },
-		OnNotice:     func(w backend.Notice) { d.post(noticeEvent{dec.id, w}) },
+		OnNotice:     func(n backend.Notice) { d.post(noticeEvent{dec.id, n}) },
 		Saturated:    d.Saturated,
 		// After a longer pause the owner may have granted the slot to another request.
 		MayStart: func() bool { return d.now()-dec.decidedAt < d.startTimeout() },
@@ -149,12 +149,12 @@
 
 // SpendRetry implements front.Scheduler.
 func (d *Dispatcher) SpendRetry(r front.Request) bool {
-	answer := make(chan bool, 1)
-	if !d.post(retryEvent{r.Model, answer}) {
+	result := make(chan bool, 1)
+	if !d.post(retryEvent{r.Model, result}) {
 		return false
 	}
 	select {
-	case ok := <-answer:
+	case ok := <-result:
 		return ok
 	case <-d.ctx.Done():
 		return false
@@ -163,12 +163,12 @@
 
 type retryEvent struct {
 	service string
-	answer  chan<- bool
+	result  chan<- bool
 }
 
 func (e retryEvent) apply(s *state) {
-	routers := s.roster.CountRecent(s.now, s.retryRule.Window)
-	e.answer <- s.allowance.Spend(s.now, e.service, routers)
+	routers := s.roster.CountRecent(s.now, s.retryConfig.Window)
+	e.result <- s.retryBudget.Spend(s.now, e.service, routers)
 }
 
 type arriveEvent struct{ *attempt }
@@ -183,7 +183,7 @@
 	}
 	r := &e.request
 	if r.Attempt == 0 {
-		s.allowance.CountRequest(s.now, r.Model)
+		s.retryBudget.CountRequest(s.now, r.Model)
 	}
 	s.step(admit.Arrive{Request: admit.Request{
 		ID: id, Service: r.Model, Account: r.Account, AccountRank: r.AccountRank, Rank: r.Rank, Prefix: r.Prefix,
@@ -204,7 +204,7 @@
 	a.result <- dec
 }
 
-// cancelEvent cancels an attempt whose client disconnected, whether it still waits or was just
+// cancelEvent cancels an attempt whose caller disconnected, whether it still waits or was just
 // granted a slot.
 type cancelEvent struct{ *attempt }
 
@@ -224,7 +224,7 @@
 	}
 }
 
-// drainEvent refuses all waiting requests, if accounts are served by weights.
+// drainEvent refuses all waiting requests, if accounts are scheduled by weight.
 type drainEvent struct{}
 
 func (drainEvent) apply(s *state) {
@@ -269,7 +269,7 @@
 }
 
 // adjustResult discards stalls and connection failures while this router is saturated, since
-// its own delay may have caused them.
+// its own lag may have caused them.
 func adjustResult(result admit.Result, saturated bool) admit.Result {
 	if saturated && (result == admit.Stalled || result == admit.Unreachable) {
 		return admit.Unknown
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -67,7 +67,7 @@
 	id        Identity
 	opt       options
 	source    Source
-	net       Transport
+	transport Transport
 	startTime time.Time
 	// steadyStart is the start time on the monotonic clock, which stops while the machine
 	// is suspended. Lag is measured on it, so that a suspension does not count as lag.
@@ -117,7 +117,7 @@
 type options struct {
 	log         *slog.Logger
 	seeds       []string
-	retryRule   allowance.Config
+	retryConfig allowance.Config
 	applyWithin time.Duration
 	// random returns numbers in [0, 1).
 	random func() float64
@@ -128,7 +128,7 @@
 	// by it.
 	wallClock   func() time.Time
 	coreOptions []admit.Option
-	// weighted is true if accounts are served by their weights.
+	// weighted is true if accounts are scheduled by weight.
 	weighted bool
 	// loadReader is nil if backend loads are not polled.
 	loadReader LoadReader
@@ -157,7 +157,7 @@
 func WithSeeds(seeds []string) Option { return func(o *options) { o.seeds = seeds } }
 
 // WithRetryBudget sets the fleet's retry budget.
-func WithRetryBudget(r allowance.Config) Option { return func(o *options) { o.retryRule = r } }
+func WithRetryBudget(r allowance.Config) Option { return func(o *options) { o.retryConfig = r } }
 
 // WithApplyWithin sets the time within which every reachable router must apply a change at the
 // platform.
@@ -185,9 +185,9 @@
 func New(id Identity, source Source, n Transport, opts ...Option) *Dispatcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Dispatcher{
-		id: id, source: source, net: n, steadyStart: time.Now(),
+		id: id, source: source, transport: n, steadyStart: time.Now(),
 		opt: options{
-			log: slog.Default(), retryRule: allowance.DefaultConfig(), applyWithin: DefaultApplyWithin, random: rand.Float64, clock: clock.System(), wallClock: time.Now,
+			log: slog.Default(), retryConfig: allowance.DefaultConfig(), applyWithin: DefaultApplyWithin, random: rand.Float64, clock: clock.System(), wallClock: time.Now,
 		},
 		events: make(chan event, inboxSize), ctx: ctx, cancel: cancel, admission: newAdmission(),
 	}
@@ -203,14 +203,14 @@
 // be applied.
 func (d *Dispatcher) Reconfigure(r allowance.Config, applyWithin time.Duration) {
 	d.shared.applyWithin.Store(int64(applyWithin))
-	d.post(setRetryRuleEvent{r})
+	d.post(setRetryConfigEvent{r})
 }
 
-type setRetryRuleEvent struct{ allowance.Config }
+type setRetryConfigEvent struct{ allowance.Config }
 
-func (e setRetryRuleEvent) apply(s *state) {
-	s.retryRule = e.Config
-	s.allowance.Reconfigure(e.Config)
+func (e setRetryConfigEvent) apply(s *state) {
+	s.retryConfig = e.Config
+	s.retryBudget.Reconfigure(e.Config)
 }
 
 // Start starts the goroutines.
@@ -268,9 +268,9 @@
 			s.apply(tickEvent{})
 		case ev := <-d.events:
 			s.apply(ev)
-		case in := <-d.net.Inbox():
+		case in := <-d.transport.Inbox():
 			s.apply(messageEvent{in})
-		case l := <-d.net.Losses():
+		case l := <-d.transport.Losses():
 			s.apply(lossEvent{l})
 		case <-tick.C:
 			s.apply(tickEvent{})
@@ -299,8 +299,8 @@
 // Table implements front.Scheduler.
 func (d *Dispatcher) Table() *table.Table { return d.shared.table.Load() }
 
-// Drain announces to other routers that this one stops. If accounts are served by weights, it
-// also refuses waiting requests.
+// Drain announces to other routers that this one stops. If accounts are scheduled by
+// weight, it also refuses waiting requests.
 func (d *Dispatcher) Drain() {
 	d.shared.draining.Store(true)
 	d.post(drainEvent{})
--- a/pkg/admit/core.go
+++ b/pkg/admit/core.go
@@ -2,9 +2,10 @@
 // sends them.
 //
 // Each backend server has an owner: one of the live routers of its availability zone, chosen by
-// rendezvous hashing. The router that holds a request asks the owner of the preferred backend
-// server for a slot. The owner knows all requests in flight there and grants slots so that
-// responses start within their targets, serving the account with the least usage first. If the
+// rendezvous hashing. The router that holds a request (its holder) requests a slot
+// from the owner of the preferred backend server. The owner knows all requests in flight there and
+// grants slots so that responses start within their targets, serving the account with the least
+// usage first. If the
 // owner does not reply within replyTimeout, the holder admits the request on its own estimate.
 //
 // The package is a pure state machine: it takes events and the current time, and returns
@@ -36,7 +37,7 @@
 	CopyPrefixFrom string
 	// Reason is a code for why this backend server was chosen.
 	Reason string
-	// TokensAhead is the number of prompt tokens that the backend server reads before the first
+	// TokensAhead is the number of prompt tokens that the backend server processes before the first
 	// event of the response; ExpectedFirstEvent is the predicted time to that event.
 	TokensAhead        int64
 	ExpectedFirstEvent time.Duration
@@ -100,7 +101,7 @@
 	// waiting are the requests without a slot, in order of arrival.
 	waiting  []*request
 	accounts *accounts
-	// weighted schedules accounts by their weights. It is nil if they are scheduled by demand.
+	// weighted schedules accounts by weight. It is nil if they are scheduled by demand.
 	weighted *weightedScheduler
 	// statedCapacity is the engines' throughput in tokens per second, as the table states it.
 	statedCapacity float64
@@ -123,8 +124,8 @@
 	startedAt, firstPeerAt time.Duration
 	// pause is the last interval during which this process did not run.
 	pause interval
-	// delay is the current delay in processing received messages.
-	delay    time.Duration
+	// lag is the current delay between receiving messages and processing them.
+	lag      time.Duration
 	syncedAt time.Duration
 	sweptAt  time.Duration
 	// localMsgs are messages from this router to itself.
@@ -145,7 +146,7 @@
 	seed uint64
 	// uniqueIncarnations says that each incarnation of a backend server has its own name.
 	uniqueIncarnations bool
-	// weighted says that accounts are scheduled by their weights.
+	// weighted says that accounts are scheduled by weight.
 	weighted bool
 }
 
@@ -230,9 +231,9 @@
 func (c *Core) receive(from string, msg any) {
 	switch m := msg.(type) {
 	case *wire.SlotRequest:
-		c.handleAsk(from, m)
+		c.handleSlotRequest(from, m)
 	case *wire.SlotReply:
-		c.handleReply(from, m)
+		c.handleSlotReply(from, m)
 	case *wire.RequestUpdate:
 		c.handleRequestUpdate(from, m)
 	case *wire.RequestSync:
@@ -257,7 +258,7 @@
 // ProcessingLag reports how long received messages wait before this router processes them.
 type ProcessingLag struct{ Lag time.Duration }
 
-func (e ProcessingLag) apply(c *Core) { c.delay = max(0, e.Lag) }
+func (e ProcessingLag) apply(c *Core) { c.lag = max(0, e.Lag) }
 
 // NeedsTicks reports whether requests wait, at this router or in the queues of its backend
 // servers.
--- a/pkg/admit/request.go
+++ b/pkg/admit/request.go
@@ -53,14 +53,14 @@
 	arrivedAt time.Duration
 	// cost is what the request is charged to its account, in tokens.
 	cost float64
-	// asks are the slot requests sent to owners.
-	asks []*ask
+	// slotRequests are the slot requests sent to owners.
+	slotRequests []*slotRequest
 	// server is the backend server to which it was sent, nil while it waits.
 	server *server
 	// startedAt is when it was sent.
 	startedAt time.Duration
-	// unread is the number of prompt tokens still to be read, 0 after the first event.
-	unread int64
+	// prefill is the number of prompt tokens still to be processed, 0 after the first event.
+	prefill int64
 	// position orders it among the requests of its account, if accounts are scheduled by
 	// weight.
 	position time.Duration
@@ -68,8 +68,8 @@
 	charged int64
 }
 
-// ask is a slot request to the owner of a backend server.
-type ask struct {
+// slotRequest is a slot request that this router sent to the owner of a backend server.
+type slotRequest struct {
 	server *server
 	owner  string
 	sentAt time.Duration
@@ -77,18 +77,18 @@
 	// source is the backend server from which to copy the shared prefix, nil if no copy is
 	// needed or possible.
 	source *server
-	state  askState
+	state  slotState
 	// isolation is the level required when the slot was requested.
 	isolation isolation
 }
 
-type askState uint8
+type slotState uint8
 
 const (
-	askSent askState = iota
-	askQueued
-	askDenied
-	askUnanswered
+	slotRequested slotState = iota
+	slotQueued
+	slotDenied
+	slotUnanswered
 )
 
 // outputCost is the cost of an output token relative to a prompt token.
@@ -167,10 +167,10 @@
 
 func (e FirstEvent) apply(c *Core) {
 	r, ok := c.requests[e.ID]
-	if !ok || r.server == nil || r.unread == 0 {
+	if !ok || r.server == nil || r.prefill == 0 {
 		return
 	}
-	r.unread = 0
+	r.prefill = 0
 	c.confirmAlive(r.server, r.startedAt)
 	c.endTrial(r, true)
 	c.notifyOwner(r, &wire.RequestUpdate{Kind: wire.RequestFirstEvent, FirstEventMillis: (c.now - r.startedAt).Milliseconds()})
@@ -181,7 +181,7 @@
 	if !ok || r.server == nil {
 		return
 	}
-	r.server.health.noteEnded(c.now, e.Result)
+	r.server.health.recordEnd(c.now, e.Result)
 	c.recordOutcome(r, e)
 	c.endTrial(r, false)
 	if r.account != 0 && (e.Result == Refused || e.Result == Unreachable) {
@@ -203,7 +203,7 @@
 func (c *Core) recordOutcome(r *request, e AttemptEnd) {
 	switch {
 	case e.Disconnected:
-		c.recordCrash(r.server, suspect.Crash{Digest: e.Digest, At: c.now, Sent: r.startedAt, Unanswered: r.unread > 0})
+		c.recordCrash(r.server, suspect.Crash{Digest: e.Digest, At: c.now, Sent: r.startedAt, Unanswered: r.prefill > 0})
 	case e.Result == Succeeded || e.Result == Failed || e.Result == Refused:
 		c.confirmAlive(r.server, r.startedAt)
 	case e.Result == Stalled || e.Result == Unknown:
@@ -233,7 +233,7 @@
 	r.startedAt = c.now
 	s.requests[r.ID] = r
 	c.removeWaiting(r)
-	c.cancelAsks(r, s)
+	c.cancelSlotRequests(r, s)
 	if r.account != 0 {
 		c.accounts.get(r.account).started.add(c.now, r.cost)
 	}
@@ -242,14 +242,14 @@
 		c.weighted.recordStart(r, c.now)
 	}
 	c.beginTrial(r)
-	s.health.noteStarted(c.now)
+	s.health.recordStart(c.now)
 	a.ID, a.Backend, a.Waited = r.ID, s.Backend, c.now-r.arrivedAt
 	c.emit(a)
 }
 
-// cancelAsks withdraws the open slot requests at other backend servers.
-func (c *Core) cancelAsks(r *request, chosen *server) {
-	for _, a := range r.asks {
+// cancelSlotRequests withdraws the open slot requests at other backend servers.
+func (c *Core) cancelSlotRequests(r *request, chosen *server) {
+	for _, a := range r.slotRequests {
 		if a.server != chosen && a.isOpen() {
 			c.send(a.owner, &wire.RequestUpdate{ID: r.ID, Server: a.server.key, Kind: wire.RequestCanceled})
 		}
@@ -257,8 +257,8 @@
 }
 
 // isOpen reports whether the owner may still grant the slot.
-func (a *ask) isOpen() bool {
-	return a.state == askQueued || a.state == askSent
+func (a *slotRequest) isOpen() bool {
+	return a.state == slotQueued || a.state == slotRequested
 }
 
 func (c *Core) removeWaiting(r *request) {
@@ -269,7 +269,7 @@
 func (c *Core) discard(r *request) {
 	delete(c.requests, r.ID)
 	c.removeWaiting(r)
-	c.cancelAsks(r, nil)
+	c.cancelSlotRequests(r, nil)
 	if c.weighted != nil {
 		c.weighted.dequeue(r, c.now)
 	}
