--- a/pkg/allowance/allowance_test.go
+++ b/pkg/allowance/allowance_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestFleetKeepsTheRule guards against too many retries in any sliding window
+// TestFleetStaysWithinBudget guards against too many retries in any sliding window
 // when routers do not communicate and restart at random.
 func TestFleetStaysWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
